--- a/cornelstand/src/gateway/budget.rs
+++ b/cornelstand/src/gateway/budget.rs
@@ -1,8 +1,8 @@
-//! Shares of the limits that all instances keep together.
+//! Per-instance quotas of fleet-wide limits.
 //!
-//! Retries and requests to cold endpoints are limited over the whole fleet, at any moment, also for
-//! instances that cannot talk to each other. Each instance therefore holds a fixed allotment of the
-//! limit, and the allotments of all instances add up to less than it.
+//! Retries and requests to cold endpoints are limited over the whole fleet, even while instances
+//! cannot reach each other. Each instance therefore has a fixed quota, and the quotas of all
+//! instances add up to less than the limit.
 
 use std::collections::{HashMap, VecDeque};
 use std::time::Duration;
@@ -11,10 +11,10 @@
 use crate::moment::Moment;
 use crate::name::ServiceName;
 
-/// Part of a fleet-wide limit that is dealt out; the rest covers instances not yet known.
-const DEALT: f64 = 0.8;
+/// Fraction of a fleet-wide limit that is allotted; the rest covers instances not yet known.
+const ALLOTTED_FRACTION: f64 = 0.8;
 
-/// Bounds of retries that the platform states.
+/// Retry limits set by the platform.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) struct RetryRule {
     /// Retries for each request.
@@ -25,29 +25,29 @@
 }
 
 #[derive(Debug, Default)]
-struct Service {
+struct RetryWindow {
     requests: VecDeque<Moment>,
-    repeats: VecDeque<Moment>,
+    retries: VecDeque<Moment>,
 }
 
-/// Retries of one instance.
+/// Retry quotas of one instance by service.
 #[derive(Debug, Default)]
 pub(crate) struct RetryShare {
-    services: HashMap<ServiceName, Service>,
+    services: HashMap<ServiceName, RetryWindow>,
 }
 
 impl RetryShare {
-    /// Counts a request of a caller.
+    /// Counts an original request.
     pub(crate) fn count(&mut self, now: Moment, service: &ServiceName, rule: &RetryRule) {
         let entry = match self.services.get_mut(service) {
             Some(entry) => entry,
             None => self.services.entry(service.clone()).or_default(),
         };
         entry.requests.push_back(now);
-        trim(&mut entry.requests, now, rule.window);
+        evict_expired(&mut entry.requests, now, rule.window);
     }
 
-    /// Takes one repeat if the allotment of one of `instances` allows it.
+    /// Takes one retry if the quota of one of `instances` allows it.
     pub(crate) fn take(
         &mut self,
         now: Moment,
@@ -56,19 +56,19 @@
         instances: usize,
     ) -> bool {
         let entry = self.services.entry(service.clone()).or_default();
-        trim(&mut entry.repeats, now, rule.window);
-        trim(&mut entry.requests, now, rule.window);
+        evict_expired(&mut entry.retries, now, rule.window);
+        evict_expired(&mut entry.requests, now, rule.window);
         let slack = rule.slack / float(instances.max(1));
-        let allowed = DEALT * (rule.ratio * float(entry.requests.len()) + slack);
-        let has_room = float(entry.repeats.len() + 1) <= allowed;
+        let allowed = ALLOTTED_FRACTION * (rule.ratio * float(entry.requests.len()) + slack);
+        let has_room = float(entry.retries.len() + 1) <= allowed;
         if has_room {
-            entry.repeats.push_back(now);
+            entry.retries.push_back(now);
         }
         has_room
     }
 }
 
-fn trim(times: &mut VecDeque<Moment>, now: Moment, window: Duration) {
+fn evict_expired(times: &mut VecDeque<Moment>, now: Moment, window: Duration) {
     while let Some(first) = times.front()
         && now.since(*first) >= window
     {
@@ -76,11 +76,11 @@
     }
 }
 
-/// Requests a second that the instance of `rank` among `instances` may send to a cold endpoint,
-/// where all together may send `limit`.
+/// Requests per second that the instance of `rank` among `instances` may send to a cold endpoint
+/// under the fleet-wide `limit`.
 pub(crate) fn cold_share(limit: f64, instances: usize, rank: usize) -> u32 {
-    let dealt = usize::try_from(whole(limit * DEALT)).unwrap_or(usize::MAX);
+    let allotted = usize::try_from(whole(limit * ALLOTTED_FRACTION)).unwrap_or(usize::MAX);
     let instances = instances.max(1);
-    let extra = usize::from(rank < dealt % instances);
-    u32::try_from(dealt / instances + extra).unwrap_or(u32::MAX)
+    let extra = usize::from(rank < allotted % instances);
+    u32::try_from(allotted / instances + extra).unwrap_or(u32::MAX)
 }
--- a/cornelstand/src/gateway/tests/budget.rs
+++ b/cornelstand/src/gateway/tests/budget.rs
@@ -1,4 +1,4 @@
-//! Allotments of fleet-wide limits add up to no more than the limit.
+//! The quotas of all instances add up to no more than the fleet-wide limit.
 
 use std::time::Duration;
 
@@ -20,13 +20,13 @@
 
 proptest! {
     #[test]
-    fn cold_shares_of_all_instances_stay_within_the_limit(limit in 0.0..200.0_f64, count in 1_usize..200) {
+    fn cold_quotas_of_all_instances_stay_within_the_limit(limit in 0.0..200.0_f64, count in 1_usize..200) {
         let sum: u32 = (0..count).map(|rank| cold_share(limit, count, rank)).sum();
         prop_assert!(f64::from(sum) <= limit);
     }
 
     #[test]
-    fn repeats_of_all_instances_stay_within_the_budget(
+    fn retries_of_all_instances_stay_within_the_budget(
         count in 1_usize..40,
         requests in proptest::collection::vec((0_usize..40, 0_u64..10_000), 0..400),
     ) {
@@ -34,28 +34,28 @@
         let mut shares: Vec<RetryShare> = (0..count).map(|_| RetryShare::default()).collect();
         let mut requests = requests;
         requests.sort_by_key(|r| r.1);
-        let mut repeats = 0;
+        let mut retries = 0;
         let total = f64::from(u32::try_from(requests.len()).expect("few"));
         for (instance, ms) in requests {
             let share = &mut shares[instance % count];
             share.count(at(ms), &service, &RULE);
             while share.take(at(ms), &service, &RULE, count) {
-                repeats += 1;
+                retries += 1;
             }
         }
-        prop_assert!(f64::from(repeats) <= RULE.ratio * total + RULE.slack);
+        prop_assert!(f64::from(retries) <= RULE.ratio * total + RULE.slack);
     }
 }
 
 #[test]
-fn a_small_limit_is_dealt_to_some_instances() {
+fn a_limit_below_the_instance_count_is_allotted_to_some_instances() {
     let shares: Vec<u32> = (0..30).map(|rank| cold_share(20.0, 30, rank)).collect();
     assert_eq!(shares.iter().sum::<u32>(), 16);
     assert_eq!(shares.iter().max(), Some(&1));
 }
 
 #[test]
-fn repeats_are_allowed_again_after_the_window() {
+fn retries_are_allowed_again_after_the_window() {
     let service = ServiceName::from("s");
     let mut share = RetryShare::default();
     while share.take(at(0), &service, &RULE, 1) {}
