--- a/cornelstand/src/gateway/directory.rs
+++ b/cornelstand/src/gateway/directory.rs
@@ -1,10 +1,10 @@
-//! What an instance believes of the world: the configuration in force, the endpoints and the data
-//! centres that are taken out.
+//! An instance's view of the store: the active configuration, the endpoints and the evacuated data
+//! centres.
 //!
-//! A version of the configuration is never replaced by a lower one. Endpoints whose entries vanish
-//! while the store is away, or just after its return, may only have lapsed; they stay for
-//! [`LAPSE_GRACE`] after the return and go if they are not listed again by then. One whose removal is
-//! seen after the return may just as well leave, and stays no longer than [`REMOVAL_GRACE`].
+//! A configuration is never replaced by a lower version. Entries of endpoints that disappear during
+//! a store outage, or just after it, may only have lapsed. Such endpoints are kept for
+//! [`LAPSE_GRACE`] after the store's recovery and removed unless listed again. An endpoint whose
+//! removal is observed after the recovery may be shutting down, and is kept for [`REMOVAL_GRACE`].
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
@@ -18,76 +18,76 @@
 use crate::moment::Moment;
 use crate::name::{CentreName, EndpointName, ServiceName};
 
-/// Time after the store's return in which lapsed entries come back; the platform states about 2 s.
+/// Time after the store's recovery for lapsed entries to return; the platform states about 2 s.
 const LAPSE_GRACE: Duration = Duration::from_millis(2_300);
 
-/// Longest time for which an entry is kept whose removal was seen; endpoints that leave get nothing
-/// 2 s later.
+/// Longest time for which an entry is kept after its removal was observed; the platform allows 2 s
+/// until a leaving endpoint gets no requests.
 const REMOVAL_GRACE: Duration = Duration::from_millis(1_200);
 
-/// Time after a failed call to the store for which an instance leaves it to others to ask, beyond a few
-/// time-outs of theirs.
-const LOSS_MEMORY: Duration = Duration::from_secs(10);
+/// Time after a failed store call for which an instance leaves store access to its peers; longer
+/// than a few of their time-outs.
+const STORE_LOSS_HOLD: Duration = Duration::from_secs(10);
 
-/// One endpoint as its own entry describes it.
+/// An endpoint's entry in the store.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub(crate) struct EndpointRecord {
     pub(crate) name: EndpointName,
-    /// Start of its process, Unix time in milliseconds; zero if unknown.
+    /// Process start, Unix time in milliseconds; zero if unknown.
     pub(crate) born: u64,
     pub(crate) service: ServiceName,
     pub(crate) centre: CentreName,
     pub(crate) address: SocketAddr,
-    /// Requests that run at once.
+    /// Maximum number of concurrent requests.
     pub(crate) slots: u32,
     pub(crate) leaving: bool,
-    /// Time for which it stays cold, counted from when the entry was read.
+    /// Remaining warm-up time when the entry was read.
     pub(crate) cold: Duration,
 }
 
 #[derive(Clone, Debug)]
-struct Known {
+struct KnownEndpoint {
     record: Rc<EndpointRecord>,
-    /// When the entry lapses, if it has vanished.
-    lapses: Option<Moment>,
+    /// When the endpoint is removed, if its entry has disappeared.
+    expires_at: Option<Moment>,
 }
 
-/// What changed in the set of endpoints.
+/// Change in the set of endpoints.
 #[derive(Clone, Debug, PartialEq)]
 pub(crate) enum EndpointChange {
     Listed(Rc<EndpointRecord>),
     Removed(EndpointName),
-    /// The entry vanished around an outage of the store; the endpoint is kept for now.
+    /// The entry disappeared around a store outage; the endpoint is kept for now.
     Lapsed(EndpointName),
 }
 
-/// How long the store has answered.
+/// Availability of the store.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum StoreState {
-    /// Since when it has failed this instance, if it was asked.
-    Away(Option<Moment>),
-    BackSince(Moment),
+    /// Unavailable, with the time of the last failed call, if any.
+    Unavailable(Option<Moment>),
+    AvailableSince(Moment),
 }
 
-/// All beliefs.
+/// The current view.
 #[derive(Debug)]
 pub(crate) struct Directory {
     catalog: Rc<Catalog>,
-    endpoints: BTreeMap<EndpointName, Known>,
+    endpoints: BTreeMap<EndpointName, KnownEndpoint>,
     evacuated: BTreeSet<CentreName>,
     store: StoreState,
     listed: bool,
     marks: Marks,
-    /// How often the beliefs of a peer were taken over.
+    /// Number of times a peer's view was adopted.
     adoptions: u64,
 }
 
-/// Which state of one kind of belief an instance has.
+/// Version of one part of the view.
 #[derive(Clone, Copy, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
 pub(crate) struct Mark {
-    /// Revision of the store at the last change.
+    /// Store revision at the last change.
     pub(crate) revision: u64,
-    /// Hash over all of them, so that a change seen at two revisions is known to be one.
+    /// Hash of the contents, which identifies a change that was seen at two revisions.
     pub(crate) hash: u64,
 }
 
@@ -96,7 +96,7 @@
         self.hash != other.hash && self.revision > other.revision
     }
 
-    /// Moves on to `hash` as seen at `revision`. Returns whether it is another one.
+    /// Advances to `hash`, seen at `revision`. Returns whether the hash differs.
     fn advance(&mut self, revision: u64, hash: u64) -> bool {
         let has_changed = hash != self.hash;
         if has_changed {
@@ -106,8 +106,8 @@
     }
 }
 
-/// Which beliefs an instance has. Each kind is watched by itself, so the revision of one says nothing
-/// of the other.
+/// Versions of a view. Endpoints and evacuations are watched separately, so their revisions are not
+/// comparable.
 #[derive(Clone, Copy, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
 pub(crate) struct Marks {
     pub(crate) endpoints: Mark,
@@ -115,25 +115,25 @@
 }
 
 impl Marks {
-    /// Whether beliefs with these marks are newer in some kind.
+    /// Whether any part of a view with these marks is newer.
     pub(crate) fn are_newer(self, other: Self) -> bool {
         self.endpoints.is_newer(other.endpoints) || self.evacuations.is_newer(other.evacuations)
     }
 }
 
-/// An endpoint as an instance hands it to another one.
+/// An endpoint as sent to another instance.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
-pub(crate) struct BelievedEndpoint {
+pub(crate) struct EndpointSnapshot {
     pub(crate) record: EndpointRecord,
-    /// Time until it goes, if its entry has vanished.
+    /// Time until its removal, if its entry has disappeared.
     pub(crate) lapses: Option<Duration>,
 }
 
-/// Beliefs in the form in which an instance hands them to another one.
+/// A view as sent to another instance.
 #[derive(Clone, Debug, Default, Deserialize, Serialize)]
 pub(crate) struct Beliefs {
     pub(crate) catalog: Catalog,
-    pub(crate) endpoints: Vec<BelievedEndpoint>,
+    pub(crate) endpoints: Vec<EndpointSnapshot>,
     pub(crate) evacuated: BTreeSet<CentreName>,
     pub(crate) marks: Marks,
 }
@@ -144,7 +144,7 @@
             catalog: Rc::new(Catalog::default()),
             endpoints: BTreeMap::new(),
             evacuated: BTreeSet::new(),
-            store: StoreState::Away(None),
+            store: StoreState::Unavailable(None),
             listed: false,
             marks: Marks::default(),
             adoptions: 0,
@@ -159,12 +159,12 @@
         self.evacuated.contains(centre)
     }
 
-    /// Whether a configuration and the endpoints are known.
+    /// Whether both a configuration and an endpoint listing are known.
     pub(crate) fn is_complete(&self) -> bool {
         self.catalog.version > 0 && self.listed
     }
 
-    /// Puts a configuration in force unless a newer one is.
+    /// Activates a configuration. Returns false if its version is not higher than the active one.
     pub(crate) fn set_catalog(&mut self, catalog: Catalog) -> bool {
         if catalog.version <= self.catalog.version {
             return false;
@@ -173,141 +173,145 @@
         true
     }
 
-    /// Notes that the store does not answer. Returns whether it did before.
+    /// Records a failed store call. Returns whether the store was available before.
     pub(crate) fn lose_store(&mut self, now: Moment) -> bool {
-        let was_there = self.has_store();
-        self.store = StoreState::Away(Some(now));
-        was_there
+        let was_available = self.has_store();
+        self.store = StoreState::Unavailable(Some(now));
+        was_available
     }
 
-    /// Whether the store has failed this instance lately.
+    /// Whether a store call of this instance has failed recently.
     pub(crate) fn is_store_lost(&self, now: Moment) -> bool {
         match self.store {
-            StoreState::Away(Some(failed)) => now.since(failed) < LOSS_MEMORY,
-            StoreState::Away(None) | StoreState::BackSince(_) => false,
+            StoreState::Unavailable(Some(failed)) => now.since(failed) < STORE_LOSS_HOLD,
+            StoreState::Unavailable(None) | StoreState::AvailableSince(_) => false,
         }
     }
 
-    /// Notes that the store answers, and has answered this instance or a peer since `since`. Returns
-    /// whether it did not answer this instance before.
+    /// Records that the store has answered this instance or a peer since `since`. Returns whether
+    /// it was unavailable to this instance before.
     pub(crate) fn regain_store(&mut self, since: Moment) -> bool {
-        let was_away = !self.has_store();
-        if was_away {
-            self.store = StoreState::BackSince(since);
+        let was_unavailable = !self.has_store();
+        if was_unavailable {
+            self.store = StoreState::AvailableSince(since);
         }
-        was_away
+        was_unavailable
     }
 
-    /// Time for which the store has answered, if it does.
+    /// Time for which the store has been available, if it is.
     pub(crate) fn store_time(&self, now: Moment) -> Option<Duration> {
         match self.store {
-            StoreState::Away(_) => None,
-            StoreState::BackSince(since) => Some(now.since(since)),
+            StoreState::Unavailable(_) => None,
+            StoreState::AvailableSince(since) => Some(now.since(since)),
         }
     }
 
     pub(crate) fn has_store(&self) -> bool {
-        matches!(self.store, StoreState::BackSince(_))
+        matches!(self.store, StoreState::AvailableSince(_))
     }
 
-    /// Takes in a full listing of the endpoints.
+    /// Applies a full listing of the endpoints.
     pub(crate) fn list_endpoints(
         &mut self,
         now: Moment,
         records: Vec<EndpointRecord>,
     ) -> Vec<EndpointChange> {
         self.listed = true;
-        let gone = self.gone(records.iter());
+        let missing = self.missing(records.iter());
         let mut changes = Vec::new();
         for record in records {
             changes.extend(self.put_endpoint(record));
         }
-        let lapses = self.lapse(now);
-        for name in gone {
-            changes.extend(self.vanish(now, &name, lapses));
+        let expires_at = self.removal_time(now);
+        for name in missing {
+            changes.extend(self.mark_missing(now, &name, expires_at));
         }
         changes
     }
 
     /// Known endpoints that are not among `records`.
-    fn gone<'a>(&self, records: impl Iterator<Item = &'a EndpointRecord>) -> Vec<EndpointName> {
+    fn missing<'a>(&self, records: impl Iterator<Item = &'a EndpointRecord>) -> Vec<EndpointName> {
         let names: BTreeSet<&EndpointName> = records.map(|r| &r.name).collect();
-        let gone = self.endpoints.keys().filter(|n| !names.contains(*n));
-        gone.cloned().collect()
+        let missing = self.endpoints.keys().filter(|n| !names.contains(*n));
+        missing.cloned().collect()
     }
 
-    /// When entries lapse that vanished by `now`.
-    fn lapse(&self, now: Moment) -> Moment {
+    /// Removal time of endpoints whose entries have disappeared by `now`.
+    fn removal_time(&self, now: Moment) -> Moment {
         match self.store {
-            StoreState::BackSince(moment) => moment.after(LAPSE_GRACE),
-            StoreState::Away(_) => now.after(LAPSE_GRACE),
+            StoreState::AvailableSince(moment) => moment.after(LAPSE_GRACE),
+            StoreState::Unavailable(_) => now.after(LAPSE_GRACE),
         }
     }
 
-    /// Takes in one entry.
+    /// Applies an added or changed entry.
     pub(crate) fn put_endpoint(&mut self, record: EndpointRecord) -> Option<EndpointChange> {
         self.put(record, None)
     }
 
-    fn put(&mut self, record: EndpointRecord, lapses: Option<Moment>) -> Option<EndpointChange> {
+    fn put(
+        &mut self,
+        record: EndpointRecord,
+        expires_at: Option<Moment>,
+    ) -> Option<EndpointChange> {
         if let Some(known) = self.endpoints.get_mut(&record.name) {
             if known.record.born > record.born {
                 return None;
             }
             if *known.record == record {
-                let was_lapsing = std::mem::replace(&mut known.lapses, lapses).is_some();
-                let is_back = was_lapsing && lapses.is_none();
+                let was_missing = std::mem::replace(&mut known.expires_at, expires_at).is_some();
+                let is_back = was_missing && expires_at.is_none();
                 return is_back.then(|| EndpointChange::Listed(known.record.clone()));
             }
         }
         let record = Rc::new(record);
-        let known = Known {
+        let known = KnownEndpoint {
             record: record.clone(),
-            lapses,
+            expires_at,
         };
         self.endpoints.insert(record.name.clone(), known);
         Some(EndpointChange::Listed(record))
     }
 
-    /// Takes in that an entry was removed.
+    /// Applies the removal of an entry.
     pub(crate) fn remove_endpoint(
         &mut self,
         now: Moment,
         name: &EndpointName,
     ) -> Option<EndpointChange> {
-        let lapses = self.lapse(now).min(now.after(REMOVAL_GRACE));
-        self.vanish(now, name, lapses)
+        let expires_at = self.removal_time(now).min(now.after(REMOVAL_GRACE));
+        self.mark_missing(now, name, expires_at)
     }
 
-    fn vanish(
+    fn mark_missing(
         &mut self,
         now: Moment,
         name: &EndpointName,
-        lapses: Moment,
+        expires_at: Moment,
     ) -> Option<EndpointChange> {
         let known = self.endpoints.get_mut(name)?;
-        if known.record.leaving || now >= lapses {
+        if known.record.leaving || now >= expires_at {
             self.endpoints.remove(name);
             return Some(EndpointChange::Removed(name.clone()));
         }
-        let is_new = known.lapses.is_none();
-        known.lapses = Some(known.lapses.map_or(lapses, |l| l.min(lapses)));
+        let is_new = known.expires_at.is_none();
+        known.expires_at = Some(known.expires_at.map_or(expires_at, |l| l.min(expires_at)));
         is_new.then(|| EndpointChange::Lapsed(name.clone()))
     }
 
-    /// Removes endpoints whose entries did not come back.
+    /// Removes endpoints whose grace time is over.
     pub(crate) fn expire(&mut self, now: Moment) -> Vec<EndpointChange> {
-        let is_over = |k: &Known| k.lapses.is_some_and(|l| now >= l);
-        let over = self.endpoints.iter().filter(|(_, k)| is_over(k));
-        let over: Vec<EndpointName> = over.map(|(name, _)| name.clone()).collect();
+        let is_expired = |k: &KnownEndpoint| k.expires_at.is_some_and(|l| now >= l);
+        let expired = self.endpoints.iter().filter(|(_, k)| is_expired(k));
+        let expired: Vec<EndpointName> = expired.map(|(name, _)| name.clone()).collect();
         let remove = |name: EndpointName| {
             self.endpoints.remove(&name);
             EndpointChange::Removed(name)
         };
-        over.into_iter().map(remove).collect()
+        expired.into_iter().map(remove).collect()
     }
 
-    /// Sets the data centres that are taken out. Returns whether they changed.
+    /// Sets the evacuated data centres. Returns whether they changed.
     pub(crate) fn set_evacuated(&mut self, centres: BTreeSet<CentreName>) -> bool {
         let has_changed = centres != self.evacuated;
         self.evacuated = centres;
@@ -318,15 +322,15 @@
         &self.evacuated
     }
 
-    /// All that is believed, for another instance.
+    /// Copy of the view for another instance.
     pub(crate) fn beliefs(&self, now: Moment) -> Beliefs {
-        let believed = |k: &Known| BelievedEndpoint {
+        let snapshot = |k: &KnownEndpoint| EndpointSnapshot {
             record: (*k.record).clone(),
-            lapses: k.lapses.map(|l| l.since(now)),
+            lapses: k.expires_at.map(|l| l.since(now)),
         };
         Beliefs {
             catalog: (*self.catalog).clone(),
-            endpoints: self.endpoints.values().map(believed).collect(),
+            endpoints: self.endpoints.values().map(snapshot).collect(),
             evacuated: self.evacuated.clone(),
             marks: self.marks,
         }
@@ -336,7 +340,7 @@
         self.marks
     }
 
-    /// Notes that the endpoints are those of the store at `revision`. Returns whether they changed.
+    /// Marks the endpoints as current at store `revision`. Returns whether they changed.
     pub(crate) fn mark_endpoints(&mut self, revision: u64) -> bool {
         let mut hash = Xxh3::new();
         for (name, known) in &self.endpoints {
@@ -346,14 +350,14 @@
             let flags = [
                 record.leaving,
                 record.cold.is_zero(),
-                known.lapses.is_some(),
+                known.expires_at.is_some(),
             ];
             hash.update(&flags.map(u8::from));
         }
         self.marks.endpoints.advance(revision, hash.digest())
     }
 
-    /// Notes that the evacuations are those of the store at `revision`. Returns whether they changed.
+    /// Marks the evacuations as current at store `revision`. Returns whether they changed.
     pub(crate) fn mark_evacuations(&mut self, revision: u64) -> bool {
         let mut hash = Xxh3::new();
         for centre in &self.evacuated {
@@ -363,7 +367,7 @@
         self.marks.evacuations.advance(revision, hash.digest())
     }
 
-    /// Takes over what a peer believes of endpoints and evacuations, as far as it is newer.
+    /// Adopts those parts of a peer's view that are newer.
     pub(crate) fn adopt(&mut self, now: Moment, beliefs: Beliefs) -> Vec<EndpointChange> {
         self.adoptions += 1;
         if beliefs.marks.evacuations.is_newer(self.marks.evacuations) {
@@ -375,21 +379,21 @@
         }
         self.listed = true;
         self.marks.endpoints = beliefs.marks.endpoints;
-        let gone = self.gone(beliefs.endpoints.iter().map(|b| &b.record));
-        let removed = gone.into_iter().map(|name| {
+        let missing = self.missing(beliefs.endpoints.iter().map(|b| &b.record));
+        let removed = missing.into_iter().map(|name| {
             self.endpoints.remove(&name);
             EndpointChange::Removed(name)
         });
         let mut changes: Vec<EndpointChange> = removed.collect();
-        for believed in beliefs.endpoints {
-            let lapses = believed.lapses.map(|l| now.after(l));
-            changes.extend(self.put(believed.record, lapses));
+        for snapshot in beliefs.endpoints {
+            let expires_at = snapshot.lapses.map(|l| now.after(l));
+            changes.extend(self.put(snapshot.record, expires_at));
         }
         changes
     }
 
-    /// How often the beliefs of a peer were taken over. A watch from before that would repeat
-    /// changes that are older than the beliefs.
+    /// Number of times a peer's view was adopted. A watch that was opened earlier would replay
+    /// changes that are older than that view.
     pub(crate) fn adoptions(&self) -> u64 {
         self.adoptions
     }
--- a/cornelstand/src/gateway/tests/directory.rs
+++ b/cornelstand/src/gateway/tests/directory.rs
@@ -1,4 +1,4 @@
-//! Beliefs: no version goes back, and entries that lapse around an outage are kept for a while.
+//! Configuration versions never go back, and endpoints are kept for a while around store outages.
 
 use std::collections::BTreeSet;
 
@@ -25,7 +25,7 @@
 }
 
 #[test]
-fn an_entry_that_vanishes_in_calm_times_goes_at_once() {
+fn an_endpoint_is_removed_at_once_while_the_store_is_available() {
     let mut directory = Directory::new();
     directory.regain_store(at(0));
     directory.list_endpoints(at(0), vec![entry("a")]);
@@ -34,7 +34,7 @@
 }
 
 #[test]
-fn an_entry_that_lapsed_in_an_outage_is_kept_until_two_seconds_after_it() {
+fn an_endpoint_whose_entry_lapsed_in_an_outage_is_kept_for_the_grace_time() {
     let mut directory = Directory::new();
     directory.regain_store(at(0));
     directory.list_endpoints(at(0), vec![entry("a"), entry("b")]);
@@ -50,9 +50,9 @@
 }
 
 #[test]
-fn an_entry_removed_after_the_return_goes_within_the_bound_for_leaving_endpoints() {
-    // scale-2 --seed 996663508902 of tessel-counter: cut off until 13.5 s, removed at 13.94 s, and
-    // still used at 16.2 s.
+fn an_entry_removed_after_the_recovery_expires_within_the_bound_for_leaving_endpoints() {
+    // Seen in scale-2 --seed 996663508902 of tessel-counter: the store was back at 13.5 s and the
+    // entry removed at 13.94 s, but the endpoint was still used at 16.2 s.
     let mut directory = Directory::new();
     directory.regain_store(at(0));
     directory.list_endpoints(at(0), vec![entry("a")]);
@@ -60,7 +60,7 @@
     directory.regain_store(at(13_500));
     directory.list_endpoints(at(13_510), vec![entry("a")]);
     directory.remove_endpoint(at(13_940), &"a".into());
-    // The platform's bound is 2 s, and lapsed entries are looked for every 0.5 s.
+    // The platform's bound is 2 s, and endpoints are expired every 0.5 s.
     assert_eq!(
         directory.expire(at(13_940 + 1_450)),
         [EndpointChange::Removed("a".into())]
@@ -68,7 +68,7 @@
 }
 
 #[test]
-fn a_lapsed_entry_that_comes_back_stays() {
+fn a_lapsed_entry_that_is_listed_again_is_kept() {
     let mut directory = Directory::new();
     directory.regain_store(at(0));
     directory.list_endpoints(at(0), vec![entry("a")]);
@@ -102,9 +102,9 @@
 }
 
 #[test]
-fn a_lapsed_entry_that_a_peer_handed_over_goes_as_it_does_there() {
-    // trouble-1 --seed 816576343229 of tessel-counter-grown: kept at a peer for a while after its
-    // removal, and listed without end wherever it was taken over.
+fn a_lapsed_entry_adopted_from_a_peer_keeps_its_expiry() {
+    // Seen in trouble-1 --seed 816576343229 of tessel-counter-grown: instances that adopted a
+    // peer's view during the endpoint's grace time there never removed it.
     let mut peer = Directory::new();
     peer.regain_store(at(0));
     peer.list_endpoints(at(0), vec![entry("a"), entry("b")]);
@@ -123,9 +123,9 @@
 }
 
 #[test]
-fn a_watch_from_before_a_peers_beliefs_were_taken_over_is_not_resumed() {
-    // The same day: an instance that was cut off from the store for 8 s had its peers' beliefs, and
-    // then replayed the changes of those 8 s over them.
+fn a_watch_from_before_an_adoption_is_not_resumed() {
+    // An instance without the store for 8 s adopted its peers' view, then resumed its old watch and
+    // replayed the changes of those 8 s over that view.
     let mut directory = Directory::new();
     directory.regain_store(at(0));
     directory.list_endpoints(at(0), vec![entry("a")]);
@@ -136,20 +136,20 @@
 }
 
 #[test]
-fn an_entry_that_vanished_while_only_this_instance_was_cut_off_goes_at_once() {
+fn an_entry_removed_while_only_this_instance_lost_the_store_expires_at_once() {
     let mut directory = Directory::new();
     directory.regain_store(at(0));
     directory.list_endpoints(at(0), vec![entry("a")]);
     directory.lose_store(at(0));
-    // A peer had the store all the while.
+    // A peer reached the store all the time.
     directory.regain_store(at(20_000).before(std::time::Duration::from_secs(9)));
     let changes = directory.list_endpoints(at(20_010), Vec::new());
     assert_eq!(changes, [EndpointChange::Removed("a".into())]);
 }
 
-/// scale-1 of tessel-counter-large: the watch of evacuations answered 2.2 s late at a watching
-/// instance, whose endpoints had moved on to the same revision; another one took its beliefs for
-/// newer, and then took nothing more for 5 s.
+/// Seen in scale-1 of tessel-counter-large: at one instance the evacuation watch was 2.2 s late,
+/// but its endpoints were at the same revision; another instance took that view as newer and
+/// adopted nothing more for 5 s.
 #[test]
 fn newer_endpoints_do_not_hide_an_evacuation() {
     let watching = |evacuated: &[&str]| {
@@ -169,7 +169,7 @@
     assert!(informed.marks().are_newer(other.marks()));
     other.adopt(at(20), informed.beliefs(at(20)));
     assert!(other.is_evacuated(&"south".into()));
-    // The late one has nothing newer.
+    // The late instance has nothing newer.
     assert!(!late.marks().are_newer(other.marks()));
     other.adopt(at(30), late.beliefs(at(30)));
     assert!(other.is_evacuated(&"south".into()));
