--- a/cornelstand/src/gateway/outputs.rs
+++ b/cornelstand/src/gateway/outputs.rs
@@ -1,8 +1,8 @@
-//! How long the answers of a service get, and how fast its engines must be for them.
+//! Estimates of the response length of a service and the token time limit that follows from it.
 //!
-//! An engine that reads many prompts between its steps makes all its running answers slower. What
-//! it may be given is therefore bounded by the time between two tokens with which the long answers
-//! of the service still end before their callers give up.
+//! Reading prompts between its steps slows down all running responses of an engine. Its load is
+//! therefore limited by the time between two tokens with which the long responses of the service
+//! still end before their timeout.
 
 use std::collections::HashMap;
 use std::time::Duration;
@@ -10,22 +10,22 @@
 use crate::gateway::number::float;
 use crate::name::ServiceName;
 
-/// Part of answers that are meant to end in time: all but the longest one in a hundred.
+/// Quantile of the response length that has to end in time.
 const QUANTILE: f64 = 0.99;
-/// Step of the estimate, as a part of it.
-const STEP: f64 = 0.02;
-/// Part of the time for an answer that its generation may take on average; under load the time
-/// between two tokens varies by a factor of two among engines.
-const TIME_PART: f64 = 0.45;
-/// Longest time between two tokens if answers are short, in milliseconds: at a quarter of this a
+/// Step of the quantile estimate, as a fraction of it.
+const ESTIMATE_STEP: f64 = 0.02;
+/// Fraction of the timeout that generation may take on average; under load the time between two
+/// tokens varies by a factor of two among engines.
+const TIME_SHARE: f64 = 0.45;
+/// Longest time between two tokens for short responses, in milliseconds: at a quarter of this a
 /// reader keeps up with the text.
-const TIME_MAX: f64 = 40.0;
+const MAX_TOKEN_TIME_MS: f64 = 40.0;
 
-/// Estimate for the answers of one route.
+/// Response length estimate of one route.
 #[derive(Clone, Copy, Debug)]
 struct Output {
-    /// Tokens of a long answer.
-    long: f64,
+    /// Estimated 99th percentile of the response length, in tokens.
+    p99: f64,
     timeout: Duration,
 }
 
@@ -33,12 +33,12 @@
 #[derive(Debug, Default)]
 pub(crate) struct Outputs {
     services: HashMap<ServiceName, HashMap<String, Output>>,
-    /// Mean of the times at peers, with the number of those.
+    /// Mean of the token time limits at peers, with the number of peers.
     peers: HashMap<ServiceName, (f64, usize)>,
 }
 
 impl Outputs {
-    /// Takes in a request for `tokens` on a route.
+    /// Records a request on a route that is expected to generate `tokens`.
     pub(crate) fn note(
         &mut self,
         service: &ServiceName,
@@ -55,31 +55,31 @@
         };
         let Some(output) = routes.get_mut(route) else {
             let output = Output {
-                long: tokens,
+                p99: tokens,
                 timeout,
             };
             routes.insert(route.to_owned(), output);
             return;
         };
         output.timeout = timeout;
-        let step = STEP * output.long.max(1.0);
-        if tokens > output.long {
-            output.long += step * QUANTILE;
+        let step = ESTIMATE_STEP * output.p99.max(1.0);
+        if tokens > output.p99 {
+            output.p99 += step * QUANTILE;
         } else {
-            output.long -= step * (1.0 - QUANTILE);
+            output.p99 -= step * (1.0 - QUANTILE);
         }
     }
 
-    /// Takes in what the peers see, which see other requests of the same callers.
+    /// Replaces the peers' limits, which are based on other requests of the same callers.
     pub(crate) fn set_peers(&mut self, times: HashMap<ServiceName, (f64, usize)>) {
         self.peers = times;
     }
 
-    /// Longest time between two tokens, in milliseconds, with which long answers end in time: the
-    /// mean over the instances. One that is stricter than the others would find no endpoint that
-    /// they have not filled beyond its limit.
+    /// Longest time between two tokens, in milliseconds, with which long responses end in time: the
+    /// mean over the instances. An instance with a lower limit than the others would find all
+    /// endpoints loaded beyond its own.
     pub(crate) fn token_time(&self, service: &ServiceName) -> f64 {
-        let own = self.own_time(service).unwrap_or(TIME_MAX);
+        let own = self.own_time(service).unwrap_or(MAX_TOKEN_TIME_MS);
         let Some((mean, count)) = self.peers.get(service) else {
             return own;
         };
@@ -87,7 +87,7 @@
         (mean * count + own) / (count + 1.0)
     }
 
-    /// The same as this instance alone sees it, by service, for the peers.
+    /// Limits from this instance's requests alone, by service, for the peers.
     pub(crate) fn own_times(&self) -> impl Iterator<Item = (&ServiceName, f64)> {
         let services = self.services.keys();
         services.filter_map(|service| Some((service, self.own_time(service)?)))
@@ -95,7 +95,7 @@
 
     fn own_time(&self, service: &ServiceName) -> Option<f64> {
         let routes = self.services.get(service)?.values();
-        let time = |o: &Output| o.timeout.as_secs_f64() * 1e3 * TIME_PART / o.long.max(1.0);
-        Some(routes.map(time).fold(TIME_MAX, f64::min))
+        let time = |o: &Output| o.timeout.as_secs_f64() * 1e3 * TIME_SHARE / o.p99.max(1.0);
+        Some(routes.map(time).fold(MAX_TOKEN_TIME_MS, f64::min))
     }
 }
--- a/cornelstand/src/gateway/tests/outputs.rs
+++ b/cornelstand/src/gateway/tests/outputs.rs
@@ -1,4 +1,4 @@
-//! The bound on the time between tokens follows the longest answers of a service.
+//! The token time limit follows the longest responses of a service.
 
 use std::collections::HashMap;
 use std::time::Duration;
@@ -7,26 +7,26 @@
 use crate::name::ServiceName;
 
 #[test]
-fn long_answers_tighten_the_bound() {
+fn long_responses_lower_the_limit() {
     let service = ServiceName::from("s");
     let mut outputs = Outputs::default();
-    let free = outputs.token_time(&service);
+    let initial = outputs.token_time(&service);
     let timeout = Duration::from_secs(12);
     for i in 0..2_000_u32 {
         let tokens = if i % 20 == 0 { 950 } else { 200 };
         outputs.note(&service, "quote", timeout, tokens);
     }
     let bound = outputs.token_time(&service);
-    assert!(bound < free);
-    // The longest answers have to end within their 12 s.
+    assert!(bound < initial);
+    // The longest responses have to end within their timeout of 12 s.
     assert!(bound * 950.0 < 12_000.0, "{bound} ms a token");
     assert!(bound * 950.0 > 4_000.0, "{bound} ms a token");
 }
 
 #[test]
-fn an_instance_is_not_much_stricter_than_its_peers() {
-    // scale-1 of gelrouter-nbo-grown: 11.8 ms at one instance against 20 to 40 at the others, which
-    // kept all endpoints above 12.
+fn a_limit_is_averaged_with_those_of_the_peers() {
+    // Seen in scale-1 of gelrouter-nbo-grown: an instance with a limit of 11.8 ms found no
+    // endpoint, since the others, with limits of 20 to 40 ms, kept all endpoints above 12 ms.
     let service = ServiceName::from("s");
     let mut outputs = Outputs::default();
     outputs.note(&service, "quote", Duration::from_secs(12), 900);
