--- a/cornelstand/src/gateway/pauses.rs
+++ b/cornelstand/src/gateway/pauses.rs
@@ -1,52 +1,52 @@
-//! Notices that the process was paused, so that it does not act on beliefs from before.
+//! Detects pauses of the process, so that it does not act on outdated state.
 //!
-//! A process that is stopped, or whose machine is suspended, wakes with requests waiting in its
-//! sockets next to the changes that it missed. What comes first is chance. For a moment after it
-//! woke it therefore refuses new requests, until the changes are taken in.
+//! A process that was stopped, or whose machine was suspended, resumes with both requests and the
+//! missed changes pending in its sockets, in arbitrary order. New requests are therefore refused
+//! for a short time after a pause, until the changes are applied.
 
 use std::cell::Cell;
 use std::time::Duration;
 
 use rustix::time::{ClockId, clock_gettime};
 
-/// Time without a tick that counts as a pause; far above the lateness of timers of a busy instance.
+/// Time without a tick that counts as a pause; far above the timer lag of a busy instance.
 const PAUSE_MIN: Duration = Duration::from_secs(1);
-/// Time after a pause in which the changes are taken in: what waits in sockets at once, beliefs of peers
-/// within two of the pulls that come every 100 ms.
+/// Time after a pause to apply missed changes: those pending in sockets are read at once, and the
+/// state of peers within two pulls, which are 100 ms apart.
 pub(crate) const CATCH_UP: Duration = Duration::from_millis(300);
 
-/// When the process ran last, and until when it catches up.
+/// Last time at which the process ran, and the end of its catch-up time.
 #[derive(Debug, Default)]
 pub(crate) struct PauseWatch {
-    ran: Cell<Option<Duration>>,
-    catches_up: Cell<Duration>,
+    last_run: Cell<Option<Duration>>,
+    catch_up_end: Cell<Duration>,
 }
 
 impl PauseWatch {
-    /// Notes that the process runs. Logs and returns the length of a pause that has just ended.
+    /// Records that the process runs. Logs and returns the length of a pause that has just ended.
     pub(crate) fn tick(&self, now: Duration) -> Option<Duration> {
-        let ran = self.ran.replace(Some(now))?;
-        let pause = now.saturating_sub(ran);
+        let last_run = self.last_run.replace(Some(now))?;
+        let pause = now.saturating_sub(last_run);
         if pause < PAUSE_MIN {
             return None;
         }
         tracing::warn!(event = "paused", pause_ms = pause.as_millis());
-        self.catches_up.set(now + CATCH_UP);
+        self.catch_up_end.set(now + CATCH_UP);
         Some(pause)
     }
 
-    /// Time for which changes are still taken in after a pause, also one that no tick has noticed.
+    /// Remaining catch-up time after a pause, including one that no tick has detected yet.
     pub(crate) fn catches_up(&self, now: Duration) -> Option<Duration> {
-        // Until the process ticks, the time between two requests is no pause.
-        if self.ran.get().is_some() {
+        // Before the first tick, the time between two requests does not indicate a pause.
+        if self.last_run.get().is_some() {
             self.tick(now);
         }
-        let left = self.catches_up.get().saturating_sub(now);
+        let left = self.catch_up_end.get().saturating_sub(now);
         (!left.is_zero()).then_some(left)
     }
 }
 
-/// Time since the machine started, its suspensions included, which the runtime's clock leaves out.
+/// Time since boot, including suspension, which the runtime's clock excludes.
 pub(crate) fn boot_time() -> Duration {
     let time = clock_gettime(ClockId::Boottime);
     Duration::try_from(time).unwrap_or_default()
--- a/cornelstand/src/gateway/tests/pauses.rs
+++ b/cornelstand/src/gateway/tests/pauses.rs
@@ -1,4 +1,4 @@
-//! Pauses of the process: they are noticed by the first request as well as by the first tick.
+//! Pauses of the process are detected by the first request as well as by the first tick.
 
 use std::time::Duration;
 
@@ -9,7 +9,7 @@
 }
 
 #[test]
-fn a_process_that_starts_or_is_a_little_late_was_not_paused() {
+fn a_start_or_a_late_tick_is_not_a_pause() {
     let watch = PauseWatch::default();
     assert_eq!(watch.catches_up(at(90_000)), None);
     assert_eq!(watch.tick(at(90_000)), None);
@@ -18,7 +18,7 @@
 }
 
 #[test]
-fn a_request_that_comes_before_the_first_tick_finds_the_pause() {
+fn a_request_before_the_first_tick_detects_the_pause() {
     let watch = PauseWatch::default();
     watch.tick(at(1_000));
     assert_eq!(watch.catches_up(at(4_000)), Some(CATCH_UP));
@@ -28,7 +28,7 @@
 }
 
 #[test]
-fn a_tick_tells_how_long_the_pause_was() {
+fn a_tick_returns_the_length_of_the_pause() {
     let watch = PauseWatch::default();
     watch.tick(at(1_000));
     assert_eq!(watch.tick(at(9_000)), Some(at(8_000)));
