--- a/cornelstand/src/gateway/number.rs
+++ b/cornelstand/src/gateway/number.rs
@@ -1,17 +1,17 @@
 //! Conversions of counts and estimates between number types.
 
-/// A count for a calculation.
+/// Converts a count for floating-point arithmetic.
 pub(crate) fn float(count: usize) -> f64 {
-    // Counts here are of requests, instances and connections.
+    // Counts of requests, instances and connections fit into 32 bits.
     f64::from(u32::try_from(count).unwrap_or(u32::MAX))
 }
 
-/// A count for a gauge.
+/// Converts a count for a gauge.
 pub(crate) fn gauge(count: usize) -> i64 {
     i64::try_from(count).unwrap_or(i64::MAX)
 }
 
-/// An estimate that is not negative, as a whole number.
+/// Truncates a non-negative estimate to an integer.
 #[expect(
     clippy::cast_possible_truncation,
     clippy::cast_sign_loss,
@@ -21,7 +21,7 @@
     estimate as u64
 }
 
-/// An estimate for a message.
+/// Reduces an estimate to the precision used in messages.
 #[expect(
     clippy::cast_possible_truncation,
     reason = "estimates need no more digits"
