--- a/cornelstand/src/gateway/outlet.rs
+++ b/cornelstand/src/gateway/outlet.rs
@@ -1,4 +1,4 @@
-//! One connection of a caller, as the steps of a request use it.
+//! A caller's connection while a request is served.
 
 use std::io;
 use std::mem::MaybeUninit;
@@ -9,12 +9,12 @@
 use tokio::net::TcpStream;
 use tokio::time::timeout;
 
-/// Longest time for which a caller may read nothing of an answer.
+/// Time-out for a write to a caller that does not read its response.
 const WRITE_TIMEOUT: Duration = Duration::from_secs(5);
-/// Most bytes read ahead while a request is served; the rest waits in the socket.
-const AHEAD_BYTES: usize = 64 * 1024;
+/// Maximum read-ahead while a request is served; further bytes stay in the socket.
+const MAX_READ_AHEAD_BYTES: usize = 64 * 1024;
 
-/// The caller is gone, or takes no bytes.
+/// The caller has disconnected or does not read its response.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct CallerGone;
 
@@ -22,11 +22,11 @@
 #[derive(Debug)]
 pub(crate) struct Outlet {
     pub(crate) stream: TcpStream,
-    /// Bytes read and not yet used.
+    /// Bytes read but not yet parsed.
     pub(crate) input: BytesMut,
-    /// Whether the connection stays open after the answer.
+    /// Whether the connection stays open after the response.
     pub(crate) keep: bool,
-    /// Whether the caller knows no chunks.
+    /// Whether the caller does not support chunked encoding.
     pub(crate) is_old: bool,
 }
 
@@ -40,10 +40,10 @@
         }
     }
 
-    /// Waits until the caller closes its connection. Bytes of a next request are kept.
+    /// Waits until the caller closes its connection. Bytes of a pipelined request are buffered.
     pub(crate) async fn gone(&mut self) {
         loop {
-            if self.input.len() >= AHEAD_BYTES {
+            if self.input.len() >= MAX_READ_AHEAD_BYTES {
                 return std::future::pending().await;
             }
             if self.stream.readable().await.is_err() {
@@ -60,14 +60,14 @@
 
     /// Whether the caller has closed its connection by now.
     pub(crate) fn is_gone(&self) -> bool {
-        // The socket is asked itself: the runtime knows only what came before its last poll.
+        // Peeks at the socket, since the runtime's readiness is from its last poll.
         match SockRef::from(&self.stream).peek(&mut [MaybeUninit::uninit()]) {
             Ok(count) => count == 0,
             Err(e) => e.kind() != io::ErrorKind::WouldBlock,
         }
     }
 
-    /// Sends bytes of an answer.
+    /// Sends part of a response, with a time-out.
     pub(crate) async fn send(&mut self, bytes: &[u8]) -> Result<(), CallerGone> {
         let sent = timeout(WRITE_TIMEOUT, write_all(&self.stream, bytes)).await;
         if let Ok(Ok(())) = sent {
@@ -77,7 +77,7 @@
         Err(CallerGone)
     }
 
-    /// Header that tells whether the connection stays open.
+    /// Connection header line for the response, if one is needed.
     pub(crate) fn connection_header(&self) -> &'static str {
         match (self.keep, self.is_old) {
             (false, _) => "Connection: close\r\n",
@@ -87,7 +87,6 @@
     }
 }
 
-/// Writes all of `bytes`.
 pub(crate) async fn write_all(stream: &TcpStream, mut bytes: &[u8]) -> io::Result<()> {
     while !bytes.is_empty() {
         match stream.try_write(bytes) {
