--- a/cornelstand/src/gateway/placement.rs
+++ b/cornelstand/src/gateway/placement.rs
@@ -14,7 +14,7 @@
 
 use derive_more::IsVariant;
 
-use crate::gateway::admission::Fading;
+use crate::gateway::admission::DecayingSum;
 use crate::gateway::directory::EndpointRecord;
 use crate::gateway::endpoint_state::{EndpointState, Home, Load, Prompt};
 use crate::gateway::notices::{Notice, Notices};
@@ -192,7 +192,7 @@
     notices: Notices,
     residents: ResidencyNews,
     /// Requests for each part, by its identity, that were refused lately though an engine keeps it.
-    wanted: HashMap<u64, Fading>,
+    wanted: HashMap<u64, DecayingSum>,
     keys: HashMap<u32, EndpointIndex>,
 }
 
--- a/cornelstand/src/gateway/tests/admission.rs
+++ b/cornelstand/src/gateway/tests/admission.rs
@@ -1,9 +1,11 @@
-//! Order of the queue, early refusals and when callers should come back.
+//! Queue order, early refusals and retry times.
 
 use std::collections::HashMap;
 use std::time::Duration;
 
-use crate::gateway::admission::{Admission, Fading, MEMORY, Waiting, Want, join_wants};
+use crate::gateway::admission::{
+    ATTAINED_TIME_CONSTANT, Admission, DecayingSum, Waiting, Want, join_wants,
+};
 use crate::gateway::catalog::RouteKind;
 use crate::gateway::endpoint_state::Prompt;
 use crate::gateway::number::short;
@@ -34,7 +36,7 @@
     )
 }
 
-/// An account at a peer wants `tokens` and has attained `attained`.
+/// Demand of `tokens` at a peer by an account that has attained `attained`.
 fn wants(attained: f32, tokens: f32) -> HashMap<ServiceName, Vec<Want>> {
     HashMap::from([(ServiceName::from(MODELS), vec![Want { attained, tokens }])])
 }
@@ -49,7 +51,7 @@
 }
 
 #[test]
-fn what_peers_gave_counts_as_well() {
+fn service_attained_through_peers_counts_as_well() {
     let mut admission = Admission::default();
     admission.charge(at(0), &waiting(at(0), "ada", 9_000));
     let bob = AccountName::from("bob");
@@ -60,7 +62,7 @@
 }
 
 #[test]
-fn what_was_attained_fades() {
+fn attained_service_decays() {
     let mut admission = Admission::default();
     admission.charge(at(0), &waiting(at(0), "ada", 10_000));
     let ada = AccountName::from("ada");
@@ -69,7 +71,7 @@
 }
 
 #[test]
-fn a_request_behind_more_than_is_served_in_its_wait_is_hopeless() {
+fn a_request_behind_more_work_than_fits_its_wait_is_hopeless() {
     let mut admission = Admission::default();
     for i in 0..20 {
         admission.charge(at(i * 50), &waiting(at(0), "bob", 1_000));
@@ -82,7 +84,7 @@
 }
 
 #[test]
-fn an_account_far_above_the_others_comes_back_later() {
+fn an_account_far_above_the_others_gets_a_longer_retry_time() {
     let mut admission = Admission::default();
     for i in 0..200 {
         admission.charge(at(i), &waiting(at(i), "bob", 1_000));
@@ -97,25 +99,25 @@
 }
 
 #[test]
-fn places_are_left_to_a_more_deserving_account_elsewhere() {
+fn an_account_yields_to_one_elsewhere_that_attained_less() {
     let mut admission = Admission::default();
-    let rich = waiting(at(0), "ada", 90_000);
-    admission.charge(at(0), &rich);
-    assert!(!admission.must_yield(at(0), &rich));
+    let heavy = waiting(at(0), "ada", 90_000);
+    admission.charge(at(0), &heavy);
+    assert!(!admission.must_yield(at(0), &heavy));
     admission.set_wanting(wants(1_000.0, 100.0));
-    assert!(admission.must_yield(at(0), &rich));
+    assert!(admission.must_yield(at(0), &heavy));
     assert!(!admission.must_yield(at(0), &waiting(at(0), "eve", 100)));
 }
 
 #[test]
-fn only_requests_that_would_take_any_engine_tell_that_places_are_scarce() {
+fn only_requests_that_accept_any_engine_count_as_unserved_demand() {
     let mut admission = Admission::default();
-    let patient = waiting(at(0), "ada", 100);
-    admission.push(patient.clone());
-    // All of its wait is for an engine that keeps its part.
+    let request = waiting(at(0), "ada", 100);
+    admission.push(request.clone());
+    // It spends its whole wait on an engine that has its prefix cached.
     assert!(admission.wanting(at(50)).is_empty());
     assert!(admission.wanting(at(150)).is_empty());
-    admission.note_refusal(at(200), &patient);
+    admission.note_refusal(at(200), &request);
     assert_eq!(admission.wanting(at(200)).len(), 1);
     let mut admission = Admission::default();
     admission.push(waiting(at(0), "eve", 100).going_on());
@@ -123,7 +125,7 @@
 }
 
 #[test]
-fn a_quiet_instance_expects_its_part_of_what_the_endpoints_do() {
+fn an_idle_instance_expects_its_share_of_the_throughput() {
     let mut admission = Admission::default();
     admission.set_capacity(&ServiceName::from(MODELS), 100_000.0, 1.0);
     let first = admission.push(waiting(at(0), "ada", 1_000));
@@ -132,7 +134,7 @@
 }
 
 #[test]
-fn a_stream_that_broke_off_comes_first_and_yields_to_nobody() {
+fn an_interrupted_stream_comes_first_and_does_not_yield() {
     let mut admission = Admission::default();
     admission.charge(at(0), &waiting(at(0), "ada", 90_000));
     admission.set_wanting(wants(1_000.0, 100.0));
@@ -144,37 +146,37 @@
     assert!(!admission.is_hopeless(at(3), broken));
 }
 
-/// The load: one account takes what nobody else asks for, then another one asks for as much.
+/// One account uses idle capacity; then a second account asks for as much.
 #[test]
-fn what_an_account_took_while_it_was_alone_is_held_against_it_for_2_5_s_at_the_most() {
+fn usage_without_contention_counts_against_an_account_for_at_most_2_5_s() {
     let mut admission = Admission::default();
     for i in 0..400 {
         admission.charge(at(i * 10), &waiting(at(i * 10), "ada", 3_000));
     }
-    let mut bob = Fading::default();
+    let mut bob = DecayingSum::default();
     for i in 400..650 {
-        bob.add(at(i * 10), 1_000.0, MEMORY);
+        bob.add(at(i * 10), 1_000.0, ATTAINED_TIME_CONSTANT);
     }
     let now = at(6_500);
-    let least = bob.get(now, MEMORY);
+    let least = bob.get(now, ATTAINED_TIME_CONSTANT);
     admission.set_wanting(wants(short(least), 100.0));
     assert!(!admission.must_yield(now, &waiting(now, "ada", 3_000)));
 }
 
 #[test]
-fn a_single_request_elsewhere_stops_nobody_but_much_work_does() {
+fn a_single_request_elsewhere_does_not_block_but_high_demand_does() {
     let mut admission = Admission::default();
     admission.set_capacity(&ServiceName::from(MODELS), 100_000.0, 2.0);
-    let rich = waiting(at(0), "ada", 90_000);
-    admission.charge(at(0), &rich);
+    let heavy = waiting(at(0), "ada", 90_000);
+    admission.charge(at(0), &heavy);
     admission.set_wanting(wants(1_000.0, 1_000.0));
-    assert!(!admission.must_yield(at(0), &rich));
+    assert!(!admission.must_yield(at(0), &heavy));
     admission.set_wanting(wants(1_000.0, 40_000.0));
-    assert!(admission.must_yield(at(0), &rich));
+    assert!(admission.must_yield(at(0), &heavy));
 }
 
 #[test]
-fn what_was_refused_is_wanted_for_a_moment() {
+fn refused_requests_count_as_demand_for_a_short_time() {
     let mut admission = Admission::default();
     admission.note_refusal(at(0), &waiting(at(0), "ada", 1_000));
     assert_eq!(admission.wanting(at(1)).len(), 1);
@@ -182,7 +184,7 @@
 }
 
 #[test]
-fn a_place_at_an_endpoint_that_did_not_run_the_request_costs_nothing() {
+fn a_refund_undoes_the_charge_for_a_request_that_did_not_run() {
     let mut admission = Admission::default();
     let waiting = waiting(at(0), "ada", 1_000);
     admission.charge(at(0), &waiting);
@@ -190,9 +192,9 @@
     assert!(admission.attained(at(0), &waiting.account) < 1.0);
 }
 
-/// The load: thirty accounts want places at as many instances, most of them small.
+/// Thirty accounts at as many instances have demand, mostly small: the large one must not be cut.
 #[test]
-fn a_large_account_that_waits_is_heard_among_many_small_ones() {
+fn a_large_demand_is_kept_among_many_small_ones() {
     let small = (0..200_u8).map(|i| Want {
         attained: 100.0 + f32::from(i),
         tokens: 5.0,
