--- a/cornelstand/src/gateway/endpoint_state.rs
+++ b/cornelstand/src/gateway/endpoint_state.rs
@@ -10,7 +10,7 @@
 use crate::gateway::directory::EndpointRecord;
 use crate::gateway::notices::Noted;
 use crate::gateway::peers::endpoint_key;
-use crate::gateway::residency::TOLD_TOKENS;
+use crate::gateway::residency::MIN_ADVERTISED_TOKENS;
 use crate::moment::Moment;
 
 /// Milliseconds to read one prompt token before anything was measured; common engines read 20 to
@@ -175,7 +175,7 @@
         kept.users += 1;
         kept.used = now;
         let is_due = kept.told.is_none_or(|t| now.since(t) >= TELL_AGAIN);
-        if is_due && part.tokens >= TOLD_TOKENS {
+        if is_due && part.tokens >= MIN_ADVERTISED_TOKENS {
             kept.told = Some(now);
             return true;
         }
--- a/cornelstand/src/gateway/placement.rs
+++ b/cornelstand/src/gateway/placement.rs
@@ -18,7 +18,7 @@
 use crate::gateway::directory::EndpointRecord;
 use crate::gateway::endpoint_state::{EndpointState, Home, Load, Prompt};
 use crate::gateway::notices::{Notice, Notices};
-use crate::gateway::residency::{ResidencyNews, Resident};
+use crate::gateway::residency::{ResidencyLog, Resident};
 use crate::moment::Moment;
 use crate::name::{CentreName, EndpointName, ServiceName};
 
@@ -190,7 +190,7 @@
     names: HashMap<EndpointName, EndpointIndex>,
     services: HashMap<ServiceName, Vec<EndpointIndex>>,
     notices: Notices,
-    residents: ResidencyNews,
+    residents: ResidencyLog,
     /// Requests for each part, by its identity, that were refused lately though an engine keeps it.
     wanted: HashMap<u64, DecayingSum>,
     keys: HashMap<u32, EndpointIndex>,
@@ -317,7 +317,7 @@
 
     /// Parts that peers should know to be kept.
     pub(crate) fn residents(&self, now: Moment) -> Vec<Resident> {
-        self.residents.told(now)
+        self.residents.advertised(now)
     }
 
     /// Takes in parts that requests of peers brought to engines.
--- a/cornelstand/src/gateway/residency.rs
+++ b/cornelstand/src/gateway/residency.rs
@@ -1,9 +1,9 @@
-//! Which parts of prompts were sent to which engines lately, told among instances.
+//! Advertisements of the prompt parts that engines have cached, exchanged between instances.
 //!
-//! An engine keeps what it has read until it needs the memory. An instance knows only what it sent
-//! itself; without its peers' knowledge it takes parts for missing that are kept, sends requests to
-//! engines that have to read them again, and misjudges what engines have to read. Only news is
-//! told: a part that an engine did not keep before, and now and then one that is still in use.
+//! An engine caches what it has read until it needs the memory. An instance knows only its own
+//! requests. Without advertisements from its peers it would treat cached parts as missing, send
+//! requests to engines that have to read the parts again, and misjudge the engines' prefill work.
+//! Only changes are sent: newly cached parts, and at intervals those still in use.
 
 use std::collections::VecDeque;
 use std::time::Duration;
@@ -12,15 +12,15 @@
 
 use crate::moment::Moment;
 
-/// Time for which a message repeats an entry, beyond the longest time between two messages, so that a
-/// lost one costs nothing.
-const REPEATED: Duration = Duration::from_millis(700);
-/// Most entries of a message, so that it fits a datagram; the latest are told.
-const TOLD_COUNT: usize = 192;
-/// Fewest tokens of a part that is told; less costs no more to read than to tell.
-pub(crate) const TOLD_TOKENS: u32 = 100;
+/// Time for which messages repeat an entry; longer than the interval between messages, so that a
+/// lost message does no harm.
+const REPEAT_TIME: Duration = Duration::from_millis(700);
+/// Maximum number of entries in a message, so that it fits a datagram; the latest are sent.
+const MAX_ENTRIES: usize = 192;
+/// Minimum size of an advertised part; smaller ones are as cheap to read as to advertise.
+pub(crate) const MIN_ADVERTISED_TOKENS: u32 = 100;
 
-/// A part that an engine keeps.
+/// A prompt part in the cache of an engine.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, Hash, PartialEq, Serialize)]
 pub(crate) struct Resident {
     /// See [`crate::gateway::peers::endpoint_key`].
@@ -28,33 +28,36 @@
     pub(crate) part: u64,
 }
 
-/// What peers should know.
+/// Recently cached parts, for the messages to peers.
 #[derive(Debug, Default)]
-pub(crate) struct ResidencyNews {
-    news: VecDeque<(Moment, Resident)>,
+pub(crate) struct ResidencyLog {
+    recent: VecDeque<(Moment, Resident)>,
 }
 
-impl ResidencyNews {
+impl ResidencyLog {
     pub(crate) fn push(&mut self, now: Moment, resident: Resident) {
-        self.news.push_back((now, resident));
-        if self.news.len() > TOLD_COUNT {
-            self.news.pop_front();
+        self.recent.push_back((now, resident));
+        if self.recent.len() > MAX_ENTRIES {
+            self.recent.pop_front();
         }
     }
 
-    /// Entries for a message at `now`.
-    pub(crate) fn told(&self, now: Moment) -> Vec<Resident> {
-        let recent = self.news.iter().filter(|(at, _)| now.since(*at) < REPEATED);
-        recent.map(|(_, resident)| *resident).collect()
+    /// Entries for a message sent at `now`.
+    pub(crate) fn advertised(&self, now: Moment) -> Vec<Resident> {
+        let repeated = self
+            .recent
+            .iter()
+            .filter(|(at, _)| now.since(*at) < REPEAT_TIME);
+        repeated.map(|(_, resident)| *resident).collect()
     }
 }
 
-/// Entries of several instances together, without doubles.
+/// Merges the entries of several instances without duplicates.
 pub(crate) fn join_residents<'a>(residents: impl Iterator<Item = &'a Resident>) -> Vec<Resident> {
     let mut seen = std::collections::HashSet::new();
     residents
         .filter(|r| seen.insert(**r))
-        .take(TOLD_COUNT * 4)
+        .take(MAX_ENTRIES * 4)
         .copied()
         .collect()
 }
