--- a/cornelstand/src/gateway/endpoint_state.rs
+++ b/cornelstand/src/gateway/endpoint_state.rs
@@ -1,5 +1,4 @@
-//! One endpoint with what is known of it: its load, the parts that it keeps, how fast and how well it
-//! answers.
+//! State of one endpoint: its load, the prompt parts in its cache, its speed and its failure rate.
 
 use std::collections::{HashMap, VecDeque};
 use std::rc::Rc;
@@ -13,43 +12,43 @@
 use crate::gateway::residency::MIN_ADVERTISED_TOKENS;
 use crate::moment::Moment;
 
-/// Milliseconds to read one prompt token before anything was measured; common engines read 20 to
-/// 60 tokens in a millisecond.
-const FIRST_PACE: f64 = 0.024;
-/// Time after which peers are told again that a part is in use, below the one for which they take it
-/// for kept.
-const TELL_AGAIN: Duration = Duration::from_secs(4);
-/// Time for which an engine is taken to keep a part after its last use.
-const KEPT: Duration = Duration::from_secs(12);
-/// Window of the limit of cold endpoints.
-const COLD_WINDOW: Duration = Duration::from_millis(1_100);
-
-/// A piece of a prompt that requests share.
+/// Initial prefill time in milliseconds per prompt token; common engines read 20 to 60 tokens per
+/// millisecond.
+const INITIAL_PACE_MS: f64 = 0.024;
+/// Interval at which a part in use is advertised again; below [`CACHE_RETENTION`], after which
+/// peers assume that it was evicted.
+const ADVERTISE_INTERVAL: Duration = Duration::from_secs(4);
+/// Time for which a part is assumed to stay in an engine's cache after its last use.
+const CACHE_RETENTION: Duration = Duration::from_secs(12);
+/// Window of the rate limit of cold endpoints.
+const COLD_LIMIT_WINDOW: Duration = Duration::from_millis(1_100);
+
+/// A section of a prompt, by which requests with a common prefix are recognised.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub(crate) struct PromptPart {
     pub(crate) id: u64,
     pub(crate) tokens: u32,
 }
 
-/// What a request asks of an engine.
+/// Size and structure of a prompt.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub(crate) struct Prompt {
-    /// Tokens to read.
+    /// Prompt tokens.
     pub(crate) input: u32,
-    /// Tokens expected to be generated.
+    /// Expected number of generated tokens.
     pub(crate) output: u32,
-    /// Parts in order; the last one is the request's own.
+    /// Parts in order; the last one is unique to the request.
     pub(crate) parts: Vec<PromptPart>,
 }
 
 impl Prompt {
-    /// Longest run of parts that others may share: all but the last.
+    /// Shared prefix: all parts but the last.
     pub(crate) fn shared(&self) -> &[PromptPart] {
         self.parts.split_last().map_or(&[], |(_, shared)| shared)
     }
 
-    /// The same for the rest of an answer of which `tokens` were generated: they are read with the
-    /// prompt, and the rest is at least `stride`.
+    /// Prompt for resuming a response after `tokens` generated tokens: these become input, and at
+    /// least `stride` remain to be generated.
     pub(crate) fn advanced(mut self, tokens: u32, stride: u32) -> Self {
         let generated = tokens.min(self.output.saturating_sub(stride));
         self.input += generated;
@@ -57,33 +56,33 @@
         self
     }
 
-    /// Tokens that no other request shares.
+    /// Tokens outside the shared prefix.
     pub(crate) fn own(&self) -> f64 {
         let shared: u32 = self.shared().iter().map(|p| p.tokens).sum();
         f64::from(self.input.saturating_sub(shared))
     }
 
-    /// Deepest shared part, by which requests are drawn together.
+    /// Last part of the shared prefix, on which requests are hashed to endpoints.
     pub(crate) fn anchor(&self) -> Option<u64> {
         self.shared().last().map(|p| p.id)
     }
 }
 
-/// Load at one endpoint as an instance tells its peers.
+/// Load of one endpoint, as exchanged between instances.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub(crate) struct Load {
-    /// Requests sent and not ended.
+    /// Requests in flight.
     pub(crate) running: u32,
-    /// Prompt tokens of requests that have not begun to answer.
+    /// Prompt tokens of requests whose response has not begun.
     pub(crate) waiting: f64,
-    /// Tokens of memory taken.
+    /// Memory in use, in tokens.
     pub(crate) memory: f64,
-    /// Milliseconds between two tokens of each running request; zero if none was seen.
+    /// Milliseconds between two tokens of a running request; zero if not yet measured.
     pub(crate) token_time: f64,
 }
 
 impl std::ops::AddAssign for Load {
-    /// Adds the load of another instance at the same endpoint.
+    /// Adds the load of another instance; token times are averaged by running requests.
     fn add_assign(&mut self, other: Self) {
         let weight = |l: &Self| {
             if l.token_time > 0.0 {
@@ -103,26 +102,27 @@
     }
 }
 
+/// A prompt part in an engine's cache.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct KeptPart {
-    /// Requests of this instance that use it now.
+pub(crate) struct CachedPart {
+    /// Requests of this instance in flight that use it.
     pub(crate) users: u32,
     pub(crate) used: Moment,
-    /// When peers were told last.
-    pub(crate) told: Option<Moment>,
+    /// Last time it was advertised by this instance or a peer.
+    pub(crate) advertised: Option<Moment>,
 }
 
-impl KeptPart {
+impl CachedPart {
     fn new(now: Moment) -> Self {
         Self {
             users: 0,
             used: now,
-            told: None,
+            advertised: None,
         }
     }
 }
 
-/// One endpoint with what is known of it.
+/// State of one endpoint.
 #[derive(Debug)]
 pub(crate) struct EndpointState {
     pub(crate) record: Rc<EndpointRecord>,
@@ -131,16 +131,16 @@
     pub(crate) cold_until: Moment,
     pub(crate) own: Load,
     pub(crate) peers: Load,
-    /// Milliseconds to read a token, queueing and generation included.
+    /// Prefill milliseconds per token, including queueing and generation steps in between.
     pub(crate) pace: f64,
-    pub(crate) parts: HashMap<u64, KeptPart>,
-    pub(crate) out_until: Moment,
-    pub(crate) refusals: u32,
-    /// Moving share of requests that failed.
-    pub(crate) failing: f64,
-    pub(crate) tried: Moment,
+    pub(crate) parts: HashMap<u64, CachedPart>,
+    pub(crate) backoff_until: Moment,
+    pub(crate) connect_failures: u32,
+    /// Moving average of the failure rate.
+    pub(crate) failure_rate: f64,
+    pub(crate) last_sent: Moment,
     pub(crate) cold_sends: VecDeque<Moment>,
-    /// What its answers, or peers, said of it.
+    /// Notices from its own responses and from peers.
     pub(crate) noted: Noted,
 }
 
@@ -152,12 +152,12 @@
             record,
             own: Load::default(),
             peers: Load::default(),
-            pace: FIRST_PACE,
+            pace: INITIAL_PACE_MS,
             parts: HashMap::new(),
-            out_until: Moment::default(),
-            refusals: 0,
-            failing: 0.0,
-            tried: Moment::default(),
+            backoff_until: Moment::default(),
+            connect_failures: 0,
+            failure_rate: 0.0,
+            last_sent: Moment::default(),
             cold_sends: VecDeque::new(),
             noted: Noted::default(),
         }
@@ -169,31 +169,34 @@
         total
     }
 
-    /// Notes that a request uses a part. Returns whether peers should be told.
+    /// Records a request that uses a part. Returns whether to advertise the part to peers.
     pub(crate) fn use_part(&mut self, now: Moment, part: PromptPart) -> bool {
-        let kept = self.parts.entry(part.id).or_insert(KeptPart::new(now));
-        kept.users += 1;
-        kept.used = now;
-        let is_due = kept.told.is_none_or(|t| now.since(t) >= TELL_AGAIN);
+        let cached = self.parts.entry(part.id).or_insert(CachedPart::new(now));
+        cached.users += 1;
+        cached.used = now;
+        let is_due = cached
+            .advertised
+            .is_none_or(|t| now.since(t) >= ADVERTISE_INTERVAL);
         if is_due && part.tokens >= MIN_ADVERTISED_TOKENS {
-            kept.told = Some(now);
+            cached.advertised = Some(now);
             return true;
         }
         false
     }
 
-    /// Notes that a peer's request used a part.
-    pub(crate) fn hear_part(&mut self, now: Moment, part: u64) {
-        let kept = self.parts.entry(part).or_insert(KeptPart::new(now));
-        kept.used = now;
-        kept.told = Some(now);
+    /// Records a part that a peer advertised.
+    pub(crate) fn note_peer_part(&mut self, now: Moment, part: u64) {
+        let cached = self.parts.entry(part).or_insert(CachedPart::new(now));
+        cached.used = now;
+        cached.advertised = Some(now);
     }
 
-    /// Drops parts that the engine does not keep any more, and sends that no limit counts.
+    /// Drops expired parts, and sends that are outside the window of the cold limit.
     pub(crate) fn forget(&mut self, now: Moment) {
-        let is_kept = |k: &KeptPart| k.users > 0 || now.since(k.used) < KEPT;
-        self.parts.retain(|_, k| is_kept(k));
-        self.cold_sends.retain(|s| now.since(*s) < COLD_WINDOW);
+        let is_cached = |k: &CachedPart| k.users > 0 || now.since(k.used) < CACHE_RETENTION;
+        self.parts.retain(|_, k| is_cached(k));
+        self.cold_sends
+            .retain(|s| now.since(*s) < COLD_LIMIT_WINDOW);
     }
 
     pub(crate) fn is_cold(&self, now: Moment) -> bool {
@@ -201,36 +204,38 @@
     }
 
     pub(crate) fn is_usable(&self, now: Moment) -> bool {
-        !self.is_leaving() && now >= self.out_until.max(self.noted.rests_until)
+        !self.is_leaving() && now >= self.backoff_until.max(self.noted.rests_until)
     }
 
-    /// Whether the store or the endpoint itself says that it leaves.
+    /// Whether the store or the endpoint itself announces its shutdown.
     pub(crate) fn is_leaving(&self) -> bool {
         self.record.leaving || self.noted.leaving
     }
 
-    /// Whether the limit of a cold endpoint allows one more request of this instance.
-    pub(crate) fn bears(&self, now: Moment, cold_share: Option<u32>) -> bool {
+    /// Whether the cold limit allows one more request from this instance.
+    pub(crate) fn allows_send(&self, now: Moment, cold_share: Option<u32>) -> bool {
         let Some(share) = cold_share.filter(|_| self.is_cold(now)) else {
             return true;
         };
         let recent = self.cold_sends.iter();
-        let recent = recent.filter(|s| now.since(**s) < COLD_WINDOW).count();
+        let recent = recent
+            .filter(|s| now.since(**s) < COLD_LIMIT_WINDOW)
+            .count();
         recent < share as usize
     }
 
-    /// Shared tokens of `prompt` that are not kept here, as far as this instance knows.
-    pub(crate) fn lacking(&self, now: Moment, prompt: &Prompt) -> f64 {
-        let is_kept = |p: &&PromptPart| {
-            let kept = self.parts.get(&p.id);
-            kept.is_some_and(|k| k.users > 0 || now.since(k.used) < KEPT)
+    /// Shared prefix tokens of `prompt` that are not known to be cached here.
+    pub(crate) fn uncached_tokens(&self, now: Moment, prompt: &Prompt) -> f64 {
+        let is_cached = |p: &&PromptPart| {
+            let cached = self.parts.get(&p.id);
+            cached.is_some_and(|k| k.users > 0 || now.since(k.used) < CACHE_RETENTION)
         };
         let shared = prompt.shared();
-        let kept = shared.iter().take_while(is_kept).count();
-        shared[kept..].iter().map(|p| f64::from(p.tokens)).sum()
+        let cached = shared.iter().take_while(is_cached).count();
+        shared[cached..].iter().map(|p| f64::from(p.tokens)).sum()
     }
 
-    /// Memory that `prompt` adds to what runs here.
+    /// Memory that `prompt` adds to the running requests, in tokens.
     pub(crate) fn memory(&self, prompt: &Prompt) -> f64 {
         let is_used = |p: &&PromptPart| self.parts.get(&p.id).is_some_and(|k| k.users > 0);
         let shared: u32 = prompt
@@ -243,7 +248,7 @@
     }
 }
 
-/// Whether an endpoint is one to which requests that share a part are drawn.
+/// Rank of an endpoint in the rendezvous hashing of a shared prefix.
 #[derive(Clone, Copy, Debug, Eq, IsVariant, PartialEq)]
 pub(crate) enum Home {
     First,
--- a/cornelstand/src/gateway/placement.rs
+++ b/cornelstand/src/gateway/placement.rs
@@ -324,7 +324,7 @@
     pub(crate) fn hear_residents(&mut self, now: Moment, residents: &[Resident]) {
         for resident in residents {
             if let Some(state) = self.by_key(resident.endpoint) {
-                state.hear_part(now, resident.part);
+                state.note_peer_part(now, resident.part);
             }
         }
     }
@@ -404,14 +404,17 @@
         };
         let listed = indices.iter().filter_map(|i| Some((*i, self.get(*i)?)));
         let usable = listed.filter(is_usable);
-        let lacking = |s: &EndpointState| prompt.map_or(0.0, |p| s.lacking(now, p));
+        let lacking = |s: &EndpointState| prompt.map_or(0.0, |p| s.uncached_tokens(now, p));
         let usable: Vec<_> = usable.map(|(i, s)| (i, s, lacking(s))).collect();
         if usable.is_empty() {
             return Err(NoPlace::NoEndpoint);
         }
         // A part that an engine keeps is worth a wait; one that none keeps is read at a home.
         let is_kept = usable.iter().any(|(_, _, lacking)| *lacking < SMALL_PART);
-        let least = usable.iter().map(|(_, s, _)| s.failing).fold(1.0, f64::min);
+        let least = usable
+            .iter()
+            .map(|(_, s, _)| s.failure_rate)
+            .fold(1.0, f64::min);
         // Endpoints that fail more than others are taken if nothing else has room.
         let mut best: Option<(bool, f64, EndpointIndex)> = None;
         for (index, state, lacking) in usable {
@@ -423,15 +426,15 @@
                 Some(prompt) => engine_cost(state, prompt, lacking, rules),
                 None => plain_cost(state),
             };
-            let Some(mut cost) = cost.filter(|_| state.bears(now, rules.cold_share)) else {
+            let Some(mut cost) = cost.filter(|_| state.allows_send(now, rules.cold_share)) else {
                 continue;
             };
             if state.record.centre != rules.centre {
                 cost += CROSS_COST;
             }
-            let excess = state.failing - least;
+            let excess = state.failure_rate - least;
             cost += cost * 4.0 * excess;
-            let is_grey = excess > GREY && now.since(state.tried) < TRIAL_PAUSE;
+            let is_grey = excess > GREY && now.since(state.last_sent) < TRIAL_PAUSE;
             if best.is_none_or(|(grey, least, _)| (is_grey, cost) < (grey, least)) {
                 best = Some((is_grey, cost, index));
             }
@@ -453,7 +456,7 @@
         };
         let mut parts = Vec::new();
         if let Some(prompt) = prompt {
-            load.waiting = prompt.own() + state.lacking(now, prompt);
+            load.waiting = prompt.own() + state.uncached_tokens(now, prompt);
             load.memory = state.memory(prompt);
             for part in prompt.shared() {
                 if state.use_part(now, *part) {
@@ -468,7 +471,7 @@
         }
         let ahead = state.total().waiting + load.waiting;
         state.own += load;
-        state.tried = now;
+        state.last_sent = now;
         if state.is_cold(now) {
             state.cold_sends.push_back(now);
         }
@@ -538,15 +541,15 @@
         }
         match end {
             PlaceEnd::Good => {
-                state.refusals = 0;
-                state.failing -= FAIL_WEIGHT * state.failing;
+                state.connect_failures = 0;
+                state.failure_rate -= FAIL_WEIGHT * state.failure_rate;
             }
             PlaceEnd::Unreachable => {
-                let out = OUT_FIRST * 2_u32.saturating_pow(state.refusals.min(8));
-                state.refusals += 1;
-                state.out_until = now.after(out.min(OUT_MAX));
+                let out = OUT_FIRST * 2_u32.saturating_pow(state.connect_failures.min(8));
+                state.connect_failures += 1;
+                state.backoff_until = now.after(out.min(OUT_MAX));
             }
-            PlaceEnd::Failed => state.failing += FAIL_WEIGHT * (1.0 - state.failing),
+            PlaceEnd::Failed => state.failure_rate += FAIL_WEIGHT * (1.0 - state.failure_rate),
             PlaceEnd::Busy | PlaceEnd::Neutral => {}
         }
     }
