--- a/cornelstand/src/gateway/placement.rs
+++ b/cornelstand/src/gateway/placement.rs
@@ -1,12 +1,12 @@
-//! Choice of the endpoint for a request, from the load that this instance and its peers put there.
+//! Chooses the endpoint for a request from the load that this instance and its peers place on each.
 //!
-//! An engine reads prompts one after another between the steps that generate tokens, and admits
-//! requests in order of arrival; what is queued inside it cannot be called back. So the gateway
-//! keeps the prompt tokens that wait in an engine under the shortest objective of its callers and
-//! the memory of running requests under the engine's, and queues in front. A prompt costs only what
-//! the engine does not keep of it, which draws requests that share parts to the same engine until
-//! the queue there costs more than reading again. The load this answers: a fleet asked for more
-//! than its engines produce, with prompts from hundreds to tens of thousands of tokens.
+//! An engine reads prompts one after another between the steps that generate tokens, admits
+//! requests in order of arrival and cannot return a queued one. The gateway therefore queues in
+//! front of the engines: it keeps the time for an engine's unread prompt tokens below the callers'
+//! shortest objective, and the memory of running requests below the engine's. A prompt costs only
+//! the tokens not in the engine's cache, so requests with a shared prefix go to the same engine
+//! until its queue costs more than reading the prefix again. Designed for a fleet under overload
+//! with prompts from hundreds to tens of thousands of tokens.
 
 use std::collections::HashMap;
 use std::rc::Rc;
@@ -22,60 +22,60 @@
 use crate::moment::Moment;
 use crate::name::{CentreName, EndpointName, ServiceName};
 
-/// Bounds of the learned pace, in milliseconds a token.
-const PACE_BOUNDS: (f64, f64) = (0.008, 0.25);
-/// Weight of a new measurement in a moving average.
-const LEARN: f64 = 0.12;
+/// Bounds of the measured prefill time, in milliseconds per token.
+const PACE_BOUNDS_MS: (f64, f64) = (0.008, 0.25);
+/// Weight of a new measurement in the moving average of the prefill time.
+const PACE_WEIGHT: f64 = 0.12;
 /// Weight of a new measurement of the time between tokens: about the last 20 events.
-const LEARN_TIME: f64 = 0.05;
-/// Part of the time that is left which the generation of an answer may take as estimated.
-const OUTPUT_PART: f64 = 0.85;
-/// Fewest tokens from which the pace is learned; below them the fixed part of a step dominates.
-const LEARN_TOKENS: f64 = 1_500.0;
-/// Part of an engine's memory that is filled; beyond it the newest requests are preempted.
-const MEMORY_PART: f64 = 0.92;
-/// Part of the shortest objective that an engine's queue may take.
-const QUEUE_PART: f64 = 0.7;
-/// Longest queue inside an engine, in milliseconds, if no objective is shorter.
-const QUEUE_MAX: f64 = 450.0;
-/// Most of the queue limit that a request's own prompt uses up, so that long prompts get in.
-const OWN_PART: f64 = 0.4;
-/// Cost of crossing data centres, in milliseconds of engine time: the price of the bytes.
-const CROSS_COST: f64 = 12.0;
-/// Shared tokens that are not worth a wait.
-const SMALL_PART: f64 = 400.0;
-/// Weight of shared tokens that are read again: they take the engine's time from all others.
-const AGAIN_WEIGHT: f64 = 2.0;
-/// Cost of a request that runs beside, in milliseconds: it slows each step.
-const BESIDE_COST: f64 = 0.8;
-/// Longest queue of an engine that may read a shared part once more, in milliseconds.
-const SPREAD_QUEUE: f64 = 30.0;
-/// Part of the longest time between tokens up to which such an engine counts as free.
-const SPREAD_PART: f64 = 0.7;
-/// Time constant of the requests that found no place where their part is kept.
-const WANTED_MEMORY: Duration = Duration::from_secs(2);
-/// Such requests from which another engine reads the part.
-const WANTED_COUNT: f64 = 3.0;
-/// Such requests, faded, that are forgotten.
-const WANTED_LEAST: f64 = 0.1;
-/// First time for which an endpoint that refused a connection gets nothing.
-const OUT_FIRST: Duration = Duration::from_millis(250);
-/// Longest such time.
-const OUT_MAX: Duration = Duration::from_secs(2);
-/// Moving share of failed requests, beyond that of the service's best endpoint, above which an
-/// endpoint gets only trials.
-const GREY: f64 = 0.3;
-/// Time between two trials of such an endpoint.
-const TRIAL_PAUSE: Duration = Duration::from_millis(700);
-/// Requests that a plain endpoint may hold for each slot, running and waiting.
-const PLAIN_DEPTH: u32 = 2;
-/// Weight of one more request in the moving share of failures.
-const FAIL_WEIGHT: f64 = 0.1;
+const TOKEN_TIME_WEIGHT: f64 = 0.05;
+/// Fraction of the remaining time that the estimated generation of a response may take.
+const OUTPUT_FRACTION: f64 = 0.85;
+/// Minimum prompt tokens for measuring the prefill time; below, a step's fixed cost dominates.
+const MIN_PACE_TOKENS: f64 = 1_500.0;
+/// Fraction of an engine's memory to fill; above it the engine preempts the newest requests.
+const MEMORY_FRACTION: f64 = 0.92;
+/// Fraction of the shortest objective that an engine's queue may take.
+const QUEUE_FRACTION: f64 = 0.7;
+/// Upper bound of an engine's queue in milliseconds, whatever the objective.
+const MAX_QUEUE_MS: f64 = 450.0;
+/// Largest fraction of the queue limit that a request's own prompt counts, to admit long prompts.
+const MAX_OWN_FRACTION: f64 = 0.4;
+/// Cost of crossing data centres, in milliseconds of engine time: the price of the traffic.
+const CROSS_CENTRE_COST_MS: f64 = 12.0;
+/// Uncached prefix tokens below which a request does not wait for another engine.
+const MIN_PREFIX_TOKENS: f64 = 400.0;
+/// Weight of prefix tokens that are read again: they delay all other requests of the engine.
+const REREAD_WEIGHT: f64 = 2.0;
+/// Cost of each running request, in milliseconds: it slows each step.
+const RUNNING_COST_MS: f64 = 0.8;
+/// Longest queue of an engine that may read a prefix cached elsewhere, in milliseconds.
+const REREAD_MAX_QUEUE_MS: f64 = 30.0;
+/// Fraction of the token time limit up to which such an engine counts as idle.
+const REREAD_TOKEN_TIME_FRACTION: f64 = 0.7;
+/// Time constant of the count of requests refused although an engine caches their prefix.
+const REFUSED_TIME_CONSTANT: Duration = Duration::from_secs(2);
+/// Count of such requests from which the prefix is replicated to another engine.
+const REPLICATE_THRESHOLD: f64 = 3.0;
+/// Decayed count below which an entry is dropped.
+const MIN_REFUSED_COUNT: f64 = 0.1;
+/// Initial backoff for an endpoint that refused a connection.
+const BACKOFF_INITIAL: Duration = Duration::from_millis(250);
+/// Longest backoff.
+const BACKOFF_MAX: Duration = Duration::from_secs(2);
+/// Excess of an endpoint's failure rate over that of the service's best endpoint above which it
+/// gets only probe requests.
+const MAX_EXCESS_FAILURES: f64 = 0.3;
+/// Interval between two probe requests to such an endpoint.
+const PROBE_INTERVAL: Duration = Duration::from_millis(700);
+/// Requests, running and queued, that an endpoint without an engine may hold per slot.
+const REQUESTS_PER_SLOT: u32 = 2;
+/// Weight of a new result in the moving average of the failure rate.
+const FAILURE_WEIGHT: f64 = 0.1;
 
 /// Position of an endpoint in [`Endpoints`].
 pub(crate) type EndpointIndex = usize;
 
-/// The endpoints that requests with one anchor are drawn to.
+/// The two endpoints with the highest hash weight for an anchor.
 #[derive(Clone, Copy, Debug, Default)]
 struct Homes {
     first: Option<EndpointIndex>,
@@ -94,45 +94,44 @@
     }
 }
 
-/// What placement has to know of a service and its callers.
+/// Parameters of a placement that depend on the service and the request.
 #[derive(Clone, Debug, PartialEq)]
 pub(crate) struct PlacementRules {
-    /// Tokens of memory, for an engine.
+    /// Memory of an engine, in tokens.
     pub(crate) memory: Option<f64>,
     /// Shortest objective of the service's routes.
     pub(crate) objective: Duration,
-    /// Requests a second that this instance may send to a cold endpoint, if there is a limit.
+    /// Requests per second that this instance may send to a cold endpoint, if there is a limit.
     pub(crate) cold_share: Option<u32>,
-    /// Longest time between two tokens, in milliseconds, with which long answers end in time.
+    /// Longest time between two tokens, in milliseconds, with which long responses end in time.
     pub(crate) token_time: f64,
-    /// Time that is left for the answer.
+    /// Time left for the response.
     pub(crate) left: Duration,
     /// Data centre of this instance.
     pub(crate) centre: CentreName,
-    /// Whether only an endpoint that keeps the shared part of the prompt will do.
+    /// Whether only endpoints that have the shared prefix cached are acceptable.
     pub(crate) kept_only: bool,
 }
 
-/// A place that was taken for a request.
+/// A request's reservation at an endpoint.
 #[derive(Debug)]
 pub(crate) struct Place {
     pub(crate) index: EndpointIndex,
-    /// Lifetime of the endpoint; see [`EndpointState::key`].
+    /// Identifies the lifetime of the endpoint; see [`EndpointState::key`].
     key: u32,
     sent: Moment,
     load: Load,
-    /// Counted tokens that the account was charged for it.
+    /// Weighted tokens that the account was charged.
     pub(crate) charged: f64,
-    /// Tokens to read before the answer begins.
+    /// Prompt tokens to read before the response begins.
     ahead: f64,
     parts: Vec<u64>,
     has_begun: bool,
-    /// When the last tokens came.
+    /// When the last tokens arrived.
     progressed: Moment,
 }
 
 impl Place {
-    /// When the place was taken.
     pub(crate) fn sent(&self) -> Moment {
         self.sent
     }
@@ -142,37 +141,37 @@
         self.load.waiting
     }
 
-    /// Tokens to read before the answer begins, as estimated when the place was taken.
+    /// Estimate, at reservation, of the prompt tokens to read before the response begins.
     pub(crate) fn ahead(&self) -> f64 {
         self.ahead
     }
 }
 
-/// Why no endpoint takes a request now.
+/// Why no endpoint can take a request.
 #[derive(Clone, Copy, Debug, Eq, IsVariant, PartialEq)]
 pub(crate) enum NoPlace {
-    /// No endpoint of the service can be used at all.
+    /// The service has no usable endpoint.
     NoEndpoint,
-    /// All are full.
+    /// All usable endpoints are at capacity.
     Full,
 }
 
 /// How a request ended at an endpoint.
 #[derive(Clone, Copy, Debug, Eq, IsVariant, PartialEq)]
 pub(crate) enum PlaceEnd {
-    /// A whole answer.
+    /// A complete response.
     Good,
-    /// No connection.
+    /// No connection could be made.
     Unreachable,
-    /// A failure, or an answer that broke off.
+    /// A failure, or an interrupted response.
     Failed,
-    /// The endpoint was too busy to take it.
+    /// The endpoint rejected it as overloaded.
     Busy,
-    /// Nothing is learned, for example because the caller left.
+    /// Says nothing about the endpoint, for example because the caller disconnected.
     Neutral,
 }
 
-/// Average load of an endpoint of a service; see [`Load`].
+/// Average load of a service's usable endpoints; see [`Load`].
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct Summary {
     pub(crate) usable: u32,
@@ -191,8 +190,8 @@
     services: HashMap<ServiceName, Vec<EndpointIndex>>,
     notices: Notices,
     residents: ResidencyLog,
-    /// Requests for each part, by its identity, that were refused lately though an engine keeps it.
-    wanted: HashMap<u64, DecayingSum>,
+    /// Recently refused requests by anchor, although an engine caches that part.
+    refused: HashMap<u64, DecayingSum>,
     keys: HashMap<u32, EndpointIndex>,
 }
 
@@ -211,7 +210,7 @@
         indices.iter().filter_map(|i| self.get(*i))
     }
 
-    /// Whether an endpoint has started again since `record`, under its name or at its address.
+    /// Whether an endpoint was restarted since `record`, with the same name or at the same address.
     pub(crate) fn is_replaced(&self, record: &EndpointRecord) -> bool {
         let mut listed = self.states.iter().flatten().map(|s| &s.record);
         listed.any(|r| {
@@ -220,7 +219,6 @@
         })
     }
 
-    /// Load of the usable endpoints of a service, on average.
     pub(crate) fn summary(&self, now: Moment, service: &ServiceName) -> Summary {
         let usable = self.of(service).filter(|s| s.is_usable(now));
         let mut summary = Summary::default();
@@ -242,7 +240,7 @@
         summary
     }
 
-    /// Takes in an endpoint or a change of it. A new start forgets what was known.
+    /// Adds or updates an endpoint. A restart resets its state.
     pub(crate) fn put(&mut self, now: Moment, record: Rc<EndpointRecord>) {
         if let Some(index) = self.find(&record.name)
             && let Some(state) = &mut self.states[index]
@@ -264,18 +262,18 @@
         self.states.push(Some(state));
     }
 
-    /// Takes in what the endpoint of `place` said of itself. Returns whether it is news that it
-    /// leaves.
+    /// Applies a notice from the endpoint of `place`. Returns whether it announces a shutdown that
+    /// was not known.
     pub(crate) fn note(&mut self, now: Moment, place: &Place, notice: Notice) -> bool {
         let is_news = self.notices.note(now, place.key, notice);
         let noted = self.notices.get(place.key);
-        if let Some(state) = self.state_of(place) {
+        if let Some(state) = self.reserved_state(place) {
             state.noted = noted;
         }
         is_news
     }
 
-    /// Takes in endpoints that peers know to leave. Returns those that were not known to.
+    /// Marks endpoints that peers report as leaving. Returns those that were not known to be.
     pub(crate) fn note_leaving(&mut self, now: Moment, endpoints: &[u32]) -> Vec<EndpointName> {
         let notice = Notice {
             leaving: true,
@@ -298,29 +296,29 @@
         self.states.get_mut(*self.keys.get(&key)?)?.as_mut()
     }
 
-    /// Notes that a request found no place where its shared part is kept.
+    /// Records a request refused although an engine may have its prefix cached.
     pub(crate) fn note_wanted(&mut self, now: Moment, prompt: &Prompt) {
         if let Some(anchor) = prompt.anchor() {
-            self.wanted
+            self.refused
                 .entry(anchor)
                 .or_default()
-                .add(now, 1.0, WANTED_MEMORY);
+                .add(now, 1.0, REFUSED_TIME_CONSTANT);
         }
     }
 
-    /// Whether so many requests found no place where their shared part is kept that another engine
-    /// should read it.
+    /// Whether enough requests with this prefix were refused recently that another engine should
+    /// read it.
     pub(crate) fn is_wanted(&self, now: Moment, prompt: &Prompt) -> bool {
-        let wanted = prompt.anchor().and_then(|a| self.wanted.get(&a));
-        wanted.is_some_and(|w| w.get(now, WANTED_MEMORY) >= WANTED_COUNT)
+        let refused = prompt.anchor().and_then(|a| self.refused.get(&a));
+        refused.is_some_and(|w| w.get(now, REFUSED_TIME_CONSTANT) >= REPLICATE_THRESHOLD)
     }
 
-    /// Parts that peers should know to be kept.
+    /// Cached parts to advertise to peers.
     pub(crate) fn residents(&self, now: Moment) -> Vec<Resident> {
         self.residents.advertised(now)
     }
 
-    /// Takes in parts that requests of peers brought to engines.
+    /// Records cached parts that peers advertised.
     pub(crate) fn hear_residents(&mut self, now: Moment, residents: &[Resident]) {
         for resident in residents {
             if let Some(state) = self.by_key(resident.endpoint) {
@@ -329,13 +327,13 @@
         }
     }
 
-    /// Endpoints that peers should know to leave, by [`EndpointState::key`].
+    /// Leaving endpoints to report to peers, by [`EndpointState::key`].
     pub(crate) fn leaving(&self, now: Moment) -> Vec<u32> {
         self.notices.told(now)
     }
 
-    /// When the first endpoint of a service takes requests again, `now` if one does, or nothing if
-    /// none will.
+    /// Earliest time at which an endpoint of a service takes requests: `now` if one does already,
+    /// `None` if none will.
     pub(crate) fn opens(
         &self,
         now: Moment,
@@ -369,21 +367,21 @@
         }
     }
 
-    /// Replaces what peers hold at the endpoints, by [`EndpointState::key`].
+    /// Replaces the peers' load of the endpoints, by [`EndpointState::key`].
     pub(crate) fn set_peers(&mut self, load: impl Fn(u32) -> Load) {
         for state in self.states.iter_mut().flatten() {
             state.peers = load(state.key);
         }
     }
 
-    /// Own load at the endpoints that hold any, by [`EndpointState::key`].
+    /// Non-zero load of this instance at the endpoints, by [`EndpointState::key`].
     pub(crate) fn own_loads(&self) -> impl Iterator<Item = (u32, Load)> {
         let states = self.states.iter().flatten();
         let busy = states.filter(|s| s.own.running > 0);
         busy.map(|s| (s.key, s.own))
     }
 
-    /// Endpoint with the least cost for a request, without taking it.
+    /// Returns the endpoint with the lowest cost for a request, without reserving it.
     ///
     /// # Errors
     ///
@@ -404,45 +402,48 @@
         };
         let listed = indices.iter().filter_map(|i| Some((*i, self.get(*i)?)));
         let usable = listed.filter(is_usable);
-        let lacking = |s: &EndpointState| prompt.map_or(0.0, |p| s.uncached_tokens(now, p));
-        let usable: Vec<_> = usable.map(|(i, s)| (i, s, lacking(s))).collect();
+        let uncached = |s: &EndpointState| prompt.map_or(0.0, |p| s.uncached_tokens(now, p));
+        let usable: Vec<_> = usable.map(|(i, s)| (i, s, uncached(s))).collect();
         if usable.is_empty() {
             return Err(NoPlace::NoEndpoint);
         }
-        // A part that an engine keeps is worth a wait; one that none keeps is read at a home.
-        let is_kept = usable.iter().any(|(_, _, lacking)| *lacking < SMALL_PART);
+        // Requests wait for an engine with their prefix cached; an uncached one is read at a home.
+        let is_cached = usable
+            .iter()
+            .any(|(_, _, uncached)| *uncached < MIN_PREFIX_TOKENS);
         let least = usable
             .iter()
             .map(|(_, s, _)| s.failure_rate)
             .fold(1.0, f64::min);
-        // Endpoints that fail more than others are taken if nothing else has room.
+        // Endpoints with a high failure rate are used only if no other has room.
         let mut best: Option<(bool, f64, EndpointIndex)> = None;
-        for (index, state, lacking) in usable {
+        for (index, state, uncached) in usable {
             let home = homes.of(index);
-            let must_read = lacking >= SMALL_PART;
+            let needs_prefill = uncached >= MIN_PREFIX_TOKENS;
             let cost = match prompt {
-                Some(_) if !has_time(state, rules) => None,
-                Some(_) if must_read && !may_read(state, rules, home, is_kept) => None,
-                Some(prompt) => engine_cost(state, prompt, lacking, rules),
+                Some(_) if !has_capacity(state, rules) => None,
+                Some(_) if needs_prefill && !may_prefill(state, rules, home, is_cached) => None,
+                Some(prompt) => engine_cost(state, prompt, uncached, rules),
                 None => plain_cost(state),
             };
             let Some(mut cost) = cost.filter(|_| state.allows_send(now, rules.cold_share)) else {
                 continue;
             };
             if state.record.centre != rules.centre {
-                cost += CROSS_COST;
+                cost += CROSS_CENTRE_COST_MS;
             }
             let excess = state.failure_rate - least;
             cost += cost * 4.0 * excess;
-            let is_grey = excess > GREY && now.since(state.last_sent) < TRIAL_PAUSE;
-            if best.is_none_or(|(grey, least, _)| (is_grey, cost) < (grey, least)) {
-                best = Some((is_grey, cost, index));
+            let is_failing =
+                excess > MAX_EXCESS_FAILURES && now.since(state.last_sent) < PROBE_INTERVAL;
+            if best.is_none_or(|(failing, least, _)| (is_failing, cost) < (failing, least)) {
+                best = Some((is_failing, cost, index));
             }
         }
         best.map(|(_, _, index)| index).ok_or(NoPlace::Full)
     }
 
-    /// Takes a place for a request.
+    /// Reserves a place for a request.
     pub(crate) fn take(
         &mut self,
         now: Moment,
@@ -488,41 +489,41 @@
         })
     }
 
-    /// Notes that the answer of a request has begun.
+    /// Records the beginning of a response.
     pub(crate) fn begin(&mut self, now: Moment, place: &mut Place) {
         if std::mem::replace(&mut place.has_begun, true) {
             return;
         }
         place.progressed = now;
-        let Some(state) = self.state_of(place) else {
+        let Some(state) = self.reserved_state(place) else {
             return;
         };
         state.own.waiting = (state.own.waiting - place.load.waiting).max(0.0);
-        if place.ahead >= LEARN_TOKENS {
-            let seen = now.since(place.sent).as_secs_f64() * 1e3 / place.ahead;
-            let seen = seen.clamp(PACE_BOUNDS.0, PACE_BOUNDS.1);
-            state.pace += LEARN * (seen - state.pace);
+        if place.ahead >= MIN_PACE_TOKENS {
+            let measured = now.since(place.sent).as_secs_f64() * 1e3 / place.ahead;
+            let measured = measured.clamp(PACE_BOUNDS_MS.0, PACE_BOUNDS_MS.1);
+            state.pace += PACE_WEIGHT * (measured - state.pace);
         }
     }
 
-    /// Notes that an answer went on by `tokens`.
+    /// Records `tokens` more of a response.
     pub(crate) fn progress(&mut self, now: Moment, place: &mut Place, tokens: u32) {
         let since = now.since(place.progressed).as_secs_f64() * 1e3;
         place.progressed = now;
-        let Some(state) = self.state_of(place).filter(|_| tokens > 0) else {
+        let Some(state) = self.reserved_state(place).filter(|_| tokens > 0) else {
             return;
         };
         let time = since / f64::from(tokens);
         if state.own.token_time == 0.0 {
             state.own.token_time = time;
         } else {
-            state.own.token_time += LEARN_TIME * (time - state.own.token_time);
+            state.own.token_time += TOKEN_TIME_WEIGHT * (time - state.own.token_time);
         }
     }
 
-    /// Gives a place back.
+    /// Releases a place.
     pub(crate) fn end(&mut self, now: Moment, place: &Place, end: PlaceEnd) {
-        let Some(state) = self.state_of(place) else {
+        let Some(state) = self.reserved_state(place) else {
             return;
         };
         state.own.running = state.own.running.saturating_sub(1);
@@ -542,34 +543,34 @@
         match end {
             PlaceEnd::Good => {
                 state.connect_failures = 0;
-                state.failure_rate -= FAIL_WEIGHT * state.failure_rate;
+                state.failure_rate -= FAILURE_WEIGHT * state.failure_rate;
             }
             PlaceEnd::Unreachable => {
-                let out = OUT_FIRST * 2_u32.saturating_pow(state.connect_failures.min(8));
+                let backoff = BACKOFF_INITIAL * 2_u32.saturating_pow(state.connect_failures.min(8));
                 state.connect_failures += 1;
-                state.backoff_until = now.after(out.min(OUT_MAX));
+                state.backoff_until = now.after(backoff.min(BACKOFF_MAX));
             }
-            PlaceEnd::Failed => state.failure_rate += FAIL_WEIGHT * (1.0 - state.failure_rate),
+            PlaceEnd::Failed => state.failure_rate += FAILURE_WEIGHT * (1.0 - state.failure_rate),
             PlaceEnd::Busy | PlaceEnd::Neutral => {}
         }
     }
 
-    /// Drops parts that no engine keeps any more.
+    /// Drops expired parts, notices and counts.
     pub(crate) fn forget_parts(&mut self, now: Moment) {
         self.notices.forget(now);
-        self.wanted
-            .retain(|_, w| w.get(now, WANTED_MEMORY) >= WANTED_LEAST);
+        self.refused
+            .retain(|_, w| w.get(now, REFUSED_TIME_CONSTANT) >= MIN_REFUSED_COUNT);
         for state in self.states.iter_mut().flatten() {
             state.forget(now);
         }
     }
 
-    fn state_of(&mut self, place: &Place) -> Option<&mut EndpointState> {
+    fn reserved_state(&mut self, place: &Place) -> Option<&mut EndpointState> {
         let state = self.states.get_mut(place.index)?.as_mut()?;
         (state.key == place.key).then_some(state)
     }
 
-    /// Endpoints that requests with `anchor` are drawn to, the same at all instances.
+    /// Preferred endpoints for `anchor` by rendezvous hashing, the same at all instances.
     fn homes(&self, now: Moment, indices: &[EndpointIndex], anchor: u64) -> Homes {
         let states = indices.iter().filter_map(|i| Some((*i, self.get(*i)?)));
         let usable = states.filter(|(_, s)| s.is_usable(now));
@@ -592,63 +593,63 @@
     }
 }
 
-/// Whether an engine has a slot and steps fast enough for more.
+/// Whether an engine has a free slot and generates tokens fast enough for another request.
 ///
-/// The time between tokens grows with the prompts that are read in between. Admitting less keeps it
-/// short enough for the longest answers to end before their callers give up.
-fn has_time(state: &EndpointState, rules: &PlacementRules) -> bool {
+/// The time between tokens grows with the prompts read in between. Limiting admission keeps it
+/// short enough for the longest responses to end before their callers give up.
+fn has_capacity(state: &EndpointState, rules: &PlacementRules) -> bool {
     let load = state.total();
     load.token_time <= rules.token_time && load.running < state.record.slots
 }
 
-/// Whether a request may go to an engine that has to read its shared part. One that no engine keeps is
-/// read at its first home, or at its second home if that has time to spare; one that is kept
-/// somewhere is waited for there, and read again by an engine with time to spare if it is wanted more
-/// than that, or for a stream that broke off. Under load the time serves more requests whose parts are
-/// kept.
-fn may_read(state: &EndpointState, rules: &PlacementRules, home: Home, is_kept: bool) -> bool {
+/// Whether a request may go to an engine that does not have its shared prefix cached. An uncached
+/// prefix is read at its first home, or at its second home if that is nearly idle. A prefix that is
+/// cached elsewhere is read again only by a nearly idle engine, and only if that cache cannot meet
+/// demand or for an interrupted stream: under load, engine time serves more requests with a cached
+/// prefix.
+fn may_prefill(state: &EndpointState, rules: &PlacementRules, home: Home, is_cached: bool) -> bool {
     let load = state.total();
-    let is_home = !is_kept && !home.is_none();
+    let is_home = !is_cached && !home.is_none();
     if is_home && home.is_first() {
         return true;
     }
     (!rules.kept_only || is_home)
-        && load.waiting * state.pace < SPREAD_QUEUE
-        && load.token_time < rules.token_time * SPREAD_PART
+        && load.waiting * state.pace < REREAD_MAX_QUEUE_MS
+        && load.token_time < rules.token_time * REREAD_TOKEN_TIME_FRACTION
 }
 
-/// Milliseconds of engine time and waiting that a request costs at an engine that has room, and
-/// lacks so many tokens of its shared part.
+/// Cost in milliseconds of engine time and waiting at an engine that has room, where `uncached`
+/// tokens of the shared prefix have to be read.
 fn engine_cost(
     state: &EndpointState,
     prompt: &Prompt,
-    lacking: f64,
+    uncached: f64,
     rules: &PlacementRules,
 ) -> Option<f64> {
     let load = state.total();
-    let memory = rules.memory? * MEMORY_PART;
+    let memory = rules.memory? * MEMORY_FRACTION;
     let is_idle = load.running == 0;
     if !is_idle && load.memory + state.memory(prompt) > memory {
         return None;
     }
     let output_time = f64::from(prompt.output) * load.token_time;
-    if output_time > rules.left.as_secs_f64() * 1e3 * OUTPUT_PART {
+    if output_time > rules.left.as_secs_f64() * 1e3 * OUTPUT_FRACTION {
         return None;
     }
-    let own = (prompt.own() + lacking) * state.pace;
+    let own = (prompt.own() + uncached) * state.pace;
     let wait = load.waiting * state.pace;
-    let limit = (rules.objective.as_secs_f64() * 1e3 * QUEUE_PART).min(QUEUE_MAX);
-    if load.waiting > 0.0 && wait > limit - own.min(limit * OWN_PART) {
+    let limit = (rules.objective.as_secs_f64() * 1e3 * QUEUE_FRACTION).min(MAX_QUEUE_MS);
+    if load.waiting > 0.0 && wait > limit - own.min(limit * MAX_OWN_FRACTION) {
         return None;
     }
-    let again = lacking * state.pace * (AGAIN_WEIGHT - 1.0);
-    Some(wait + own + again + f64::from(load.running) * BESIDE_COST)
+    let reread = uncached * state.pace * (REREAD_WEIGHT - 1.0);
+    Some(wait + own + reread + f64::from(load.running) * RUNNING_COST_MS)
 }
 
-/// Requests for each slot at a plain endpoint that has room.
+/// Requests per slot, as a cost, at an endpoint without an engine that has room.
 fn plain_cost(state: &EndpointState) -> Option<f64> {
     let load = state.total();
     let slots = state.record.slots.max(1);
-    let has_room = load.running < slots * PLAIN_DEPTH;
+    let has_room = load.running < slots * REQUESTS_PER_SLOT;
     has_room.then(|| 10.0 * f64::from(load.running) / f64::from(slots))
 }
--- a/cornelstand/src/gateway/tests/placement.rs
+++ b/cornelstand/src/gateway/tests/placement.rs
@@ -1,4 +1,4 @@
-//! Where requests go: kept parts, memory, queues, cold and failing endpoints.
+//! Placement by cached prefixes, memory and queues, and of cold and failing endpoints.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -73,7 +73,7 @@
 }
 
 #[test]
-fn requests_that_share_a_part_go_to_the_same_engine() {
+fn requests_with_a_shared_prefix_go_to_the_same_engine() {
     let mut endpoints = engines(6);
     let mut chosen = Vec::new();
     for i in 0..4 {
@@ -87,7 +87,7 @@
 }
 
 #[test]
-fn instances_agree_on_the_engine_without_talking() {
+fn instances_choose_the_same_engine_without_communication() {
     let (mut one, mut other) = (engines(6), engines(6));
     for subject in 10..40 {
         let prompt = prompt(subject, 6_000);
@@ -102,7 +102,7 @@
 }
 
 #[test]
-fn a_queue_at_the_engine_that_keeps_a_part_is_waited_for_and_then_avoided() {
+fn a_full_engine_with_the_prefix_cached_is_waited_for_and_then_avoided() {
     let mut endpoints = engines(3);
     let prompt = prompt(7, 12_000);
     let first = take(&mut endpoints, at(0), &prompt);
@@ -145,7 +145,7 @@
 }
 
 #[test]
-fn an_engine_that_answers_too_slowly_gets_nothing_more() {
+fn an_engine_above_the_token_time_limit_gets_no_requests() {
     let mut endpoints = engines(1);
     let small = prompt(7, 6_000);
     let mut place = take(&mut endpoints, at(0), &small);
@@ -160,7 +160,7 @@
 }
 
 #[test]
-fn an_answer_that_cannot_end_in_time_is_not_begun() {
+fn a_response_that_cannot_end_in_time_is_not_started() {
     let mut endpoints = engines(1);
     let small = prompt(7, 6_000);
     let mut place = take(&mut endpoints, at(0), &small);
@@ -200,7 +200,7 @@
 }
 
 #[test]
-fn an_endpoint_that_refuses_connections_rests_longer_each_time() {
+fn an_endpoint_that_refuses_connections_is_backed_off_exponentially() {
     let mut endpoints = endpoints(vec![entry("a", ORDERS)]);
     let mut now = at(0);
     for rest in [250, 500, 1_000, 2_000, 2_000] {
@@ -217,7 +217,7 @@
 }
 
 #[test]
-fn an_endpoint_that_fails_more_than_the_others_gets_trials_only() {
+fn an_endpoint_that_fails_more_than_the_others_gets_probes_only() {
     let mut endpoints = endpoints(vec![entry("bad", ORDERS), entry("good", ORDERS)]);
     let mut counts = [0, 0];
     for i in 0..400 {
@@ -236,7 +236,7 @@
 }
 
 #[test]
-fn failures_common_to_all_endpoints_close_none() {
+fn failures_common_to_all_endpoints_exclude_none() {
     let mut endpoints = endpoints(vec![entry("a", ORDERS), entry("b", ORDERS)]);
     for i in 0..200 {
         let now = at(i * 10);
@@ -248,7 +248,7 @@
 }
 
 #[test]
-fn a_new_start_of_an_endpoint_forgets_what_ran_before() {
+fn a_restart_of_an_endpoint_resets_its_load() {
     let mut endpoints = engines(1);
     let place = take(&mut endpoints, at(0), &prompt(7, 6_000));
     let mut again = entry("e0", MODELS);
@@ -260,7 +260,7 @@
 }
 
 #[test]
-fn a_leaving_endpoint_gets_nothing() {
+fn a_leaving_endpoint_gets_no_requests() {
     let mut leaving = entry("a", ORDERS);
     leaving.leaving = true;
     let endpoints = endpoints(vec![leaving]);
@@ -269,7 +269,7 @@
 }
 
 #[test]
-fn the_rest_of_a_stream_asks_for_what_is_still_to_be_generated() {
+fn a_resumed_stream_counts_generated_tokens_as_input() {
     let prompt = Prompt {
         input: 400,
         output: 900,
@@ -280,9 +280,9 @@
     assert_eq!(prompt.advanced(5_000, 6).output, 6);
 }
 
-/// The load: all engines have prompts to read. A part then stays with its first home.
+/// All engines have prompts to read: a prefix is then read at its first home only.
 #[test]
-fn the_second_home_of_a_part_is_spared_while_it_is_busy() {
+fn a_busy_second_home_is_not_used() {
     let mut endpoints = engines(3);
     endpoints.set_peers(|_| Load {
         waiting: 3_000.0,
@@ -300,10 +300,10 @@
     assert_eq!(homes.len(), 1);
 }
 
-/// further/saunaforma-prod: of 5.0 million tokens that were read for parts, 1.8 were kept at another
-/// engine, to which an instance that had not sent them there itself did not look.
+/// Seen in further/saunaforma-prod: of 5.0 million prefix tokens that engines read, 1.8 million
+/// were cached at another engine, unknown to the sending instance.
 #[test]
-fn a_part_that_a_peer_brought_to_an_engine_is_looked_for_there() {
+fn a_part_advertised_by_a_peer_attracts_requests() {
     let (mut one, mut other) = (engines(6), engines(6));
     let prompt = prompt(7, 12_000);
     let home = choose(&one, at(0), MODELS, Some(&prompt), &rules()).expect("room");
@@ -319,16 +319,16 @@
     // Its own 6,700 tokens are left to read.
     assert!(kept.prompt_tokens() <= 6_700.0, "{}", kept.prompt_tokens());
     other.end(at(900), &kept, PlaceEnd::Good);
-    // What a peer was told once is not told again at once, and not without end.
+    // A received advertisement is not repeated, and a sent one is repeated for a limited time.
     assert!(other.residents(at(460)).is_empty());
     assert!(one.residents(at(2_000)).is_empty());
-    // Long after, the engine has given the part up.
+    // The retention time is over.
     let late = choose(&other, at(30_000), MODELS, Some(&prompt), &rules());
     assert_eq!(late, Ok(home));
 }
 
 #[test]
-fn an_engine_that_has_to_read_a_part_is_expected_to_take_its_time() {
+fn an_uncached_prefix_counts_as_prompt_tokens() {
     let mut endpoints = engines(6);
     let place = take(&mut endpoints, at(0), &prompt(7, 12_000));
     assert!(
@@ -338,9 +338,9 @@
     );
 }
 
-/// A key that gets much of the traffic: one engine cannot serve all that is asked of its part.
+/// One engine cannot serve all requests that share a popular prefix.
 #[test]
-fn a_part_that_many_were_refused_is_read_by_another_engine() {
+fn a_prefix_with_many_refused_requests_is_read_by_another_engine() {
     let mut endpoints = engines(3);
     let prompt = prompt(7, 12_000);
     for refused in 1..=4 {
@@ -352,7 +352,7 @@
         endpoints.note_wanted(at(refused * 100), &prompt);
     }
     assert!(endpoints.is_wanted(at(400), &prompt));
-    // A burst that is over leaves the part where it is.
+    // A burst in the past does not cause another engine to read the prefix.
     assert!(!endpoints.is_wanted(at(5_000), &prompt));
     endpoints.forget_parts(at(20_000));
     assert!(!endpoints.is_wanted(at(20_000), &prompt));
