--- a/cornelstand/src/gateway/budget.rs
+++ b/cornelstand/src/gateway/budget.rs
@@ -17,7 +17,7 @@
 /// Retry limits set by the platform.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) struct RetryRule {
-    /// Retries for each request.
+    /// Retries per request.
     pub(crate) ratio: f64,
     /// Retries beyond the ratio, over the fleet.
     pub(crate) slack: f64,
@@ -47,7 +47,7 @@
         evict_expired(&mut entry.requests, now, rule.window);
     }
 
-    /// Takes one retry if the quota of one of `instances` allows it.
+    /// Takes one retry if this instance's quota, one of `instances`, allows it.
     pub(crate) fn take(
         &mut self,
         now: Moment,
--- a/cornelstand/src/gateway/directory.rs
+++ b/cornelstand/src/gateway/directory.rs
@@ -4,7 +4,8 @@
 //! A configuration is never replaced by a lower version. Entries of endpoints that disappear during
 //! a store outage, or just after it, may only have lapsed. Such endpoints are kept for
 //! [`LAPSE_GRACE`] after the store's recovery and removed unless listed again. An endpoint whose
-//! removal is observed after the recovery may be shutting down, and is kept for [`REMOVAL_GRACE`].
+//! removal is seen after the recovery may be shutting down; it is kept no longer than
+//! [`REMOVAL_GRACE`].
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
@@ -69,7 +70,7 @@
     AvailableSince(Moment),
 }
 
-/// The current view.
+/// The view that is in use.
 #[derive(Debug)]
 pub(crate) struct Directory {
     catalog: Rc<Catalog>,
