--- a/cornelstand/src/gateway/endpoint_state.rs
+++ b/cornelstand/src/gateway/endpoint_state.rs
@@ -82,7 +82,7 @@
 }
 
 impl std::ops::AddAssign for Load {
-    /// Adds the load of another instance; token times are averaged by running requests.
+    /// Adds another instance's load; averages token times by running requests.
     fn add_assign(&mut self, other: Self) {
         let weight = |l: &Self| {
             if l.token_time > 0.0 {
@@ -102,7 +102,6 @@
     }
 }
 
-/// A prompt part in an engine's cache.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct CachedPart {
     /// Requests of this instance in flight that use it.
@@ -122,7 +121,6 @@
     }
 }
 
-/// State of one endpoint.
 #[derive(Debug)]
 pub(crate) struct EndpointState {
     pub(crate) record: Rc<EndpointRecord>,
--- a/cornelstand/src/gateway/number.rs
+++ b/cornelstand/src/gateway/number.rs
@@ -1,8 +1,8 @@
 //! Conversions of counts and estimates between number types.
 
-/// Converts a count for floating-point arithmetic.
+/// Converts a count for arithmetic.
 pub(crate) fn float(count: usize) -> f64 {
-    // Counts of requests, instances and connections fit into 32 bits.
+    // Counts of requests, instances and connections fit.
     f64::from(u32::try_from(count).unwrap_or(u32::MAX))
 }
 
@@ -11,7 +11,7 @@
     i64::try_from(count).unwrap_or(i64::MAX)
 }
 
-/// Truncates a non-negative estimate to an integer.
+/// Truncates a non-negative estimate.
 #[expect(
     clippy::cast_possible_truncation,
     clippy::cast_sign_loss,
@@ -21,7 +21,7 @@
     estimate as u64
 }
 
-/// Reduces an estimate to the precision used in messages.
+/// Reduces an estimate to message precision.
 #[expect(
     clippy::cast_possible_truncation,
     reason = "estimates need no more digits"
--- a/cornelstand/src/gateway/outlet.rs
+++ b/cornelstand/src/gateway/outlet.rs
@@ -67,7 +67,7 @@
         }
     }
 
-    /// Sends part of a response, with a time-out.
+    /// Sends part of a response.
     pub(crate) async fn send(&mut self, bytes: &[u8]) -> Result<(), CallerGone> {
         let sent = timeout(WRITE_TIMEOUT, write_all(&self.stream, bytes)).await;
         if let Ok(Ok(())) = sent {
--- a/cornelstand/src/gateway/outputs.rs
+++ b/cornelstand/src/gateway/outputs.rs
@@ -24,7 +24,7 @@
 /// Response length estimate of one route.
 #[derive(Clone, Copy, Debug)]
 struct Output {
-    /// Estimated 99th percentile of the response length, in tokens.
+    /// Estimated 99th percentile, in tokens.
     p99: f64,
     timeout: Duration,
 }
--- a/cornelstand/src/gateway/placement.rs
+++ b/cornelstand/src/gateway/placement.rs
@@ -36,9 +36,9 @@
 const MEMORY_FRACTION: f64 = 0.92;
 /// Fraction of the shortest objective that an engine's queue may take.
 const QUEUE_FRACTION: f64 = 0.7;
-/// Upper bound of an engine's queue in milliseconds, whatever the objective.
+/// Longest queue of an engine in milliseconds, whatever the objective.
 const MAX_QUEUE_MS: f64 = 450.0;
-/// Largest fraction of the queue limit that a request's own prompt counts, to admit long prompts.
+/// Largest fraction of the queue limit that a request's own prompt takes, to admit long prompts.
 const MAX_OWN_FRACTION: f64 = 0.4;
 /// Cost of crossing data centres, in milliseconds of engine time: the price of the traffic.
 const CROSS_CENTRE_COST_MS: f64 = 12.0;
@@ -62,8 +62,8 @@
 const BACKOFF_INITIAL: Duration = Duration::from_millis(250);
 /// Longest backoff.
 const BACKOFF_MAX: Duration = Duration::from_secs(2);
-/// Excess of an endpoint's failure rate over that of the service's best endpoint above which it
-/// gets only probe requests.
+/// Excess of an endpoint's failure rate over that of the service's best one above which it gets
+/// only probe requests.
 const MAX_EXCESS_FAILURES: f64 = 0.3;
 /// Interval between two probe requests to such an endpoint.
 const PROBE_INTERVAL: Duration = Duration::from_millis(700);
@@ -109,7 +109,7 @@
     pub(crate) left: Duration,
     /// Data centre of this instance.
     pub(crate) centre: CentreName,
-    /// Whether only endpoints that have the shared prefix cached are acceptable.
+    /// Whether only endpoints with the shared prefix cached will do.
     pub(crate) kept_only: bool,
 }
 
@@ -117,7 +117,7 @@
 #[derive(Debug)]
 pub(crate) struct Place {
     pub(crate) index: EndpointIndex,
-    /// Identifies the lifetime of the endpoint; see [`EndpointState::key`].
+    /// Lifetime of the endpoint; see [`EndpointState::key`].
     key: u32,
     sent: Moment,
     load: Load,
@@ -141,7 +141,7 @@
         self.load.waiting
     }
 
-    /// Estimate, at reservation, of the prompt tokens to read before the response begins.
+    /// Prompt tokens to read before the response begins, as estimated at reservation.
     pub(crate) fn ahead(&self) -> f64 {
         self.ahead
     }
@@ -167,7 +167,7 @@
     Failed,
     /// The endpoint rejected it as overloaded.
     Busy,
-    /// Says nothing about the endpoint, for example because the caller disconnected.
+    /// Not the endpoint's doing, for example because the caller disconnected.
     Neutral,
 }
 
@@ -306,8 +306,7 @@
         }
     }
 
-    /// Whether enough requests with this prefix were refused recently that another engine should
-    /// read it.
+    /// Whether refused requests with this prefix are so many that another engine should read it.
     pub(crate) fn is_wanted(&self, now: Moment, prompt: &Prompt) -> bool {
         let refused = prompt.anchor().and_then(|a| self.refused.get(&a));
         refused.is_some_and(|w| w.get(now, REFUSED_TIME_CONSTANT) >= REPLICATE_THRESHOLD)
@@ -646,7 +645,7 @@
     Some(wait + own + reread + f64::from(load.running) * RUNNING_COST_MS)
 }
 
-/// Requests per slot, as a cost, at an endpoint without an engine that has room.
+/// Cost at an endpoint without an engine that has room: its requests per slot.
 fn plain_cost(state: &EndpointState) -> Option<f64> {
     let load = state.total();
     let slots = state.record.slots.max(1);
--- a/cornelstand/src/gateway/residency.rs
+++ b/cornelstand/src/gateway/residency.rs
@@ -28,7 +28,7 @@
     pub(crate) part: u64,
 }
 
-/// Recently cached parts, for the messages to peers.
+/// Recently cached parts.
 #[derive(Debug, Default)]
 pub(crate) struct ResidencyLog {
     recent: VecDeque<(Moment, Resident)>,
@@ -42,7 +42,7 @@
         }
     }
 
-    /// Entries for a message sent at `now`.
+    /// Entries for a message at `now`.
     pub(crate) fn advertised(&self, now: Moment) -> Vec<Resident> {
         let repeated = self
             .recent
