--- a/cornelstand/src/gateway/placement.rs
+++ b/cornelstand/src/gateway/placement.rs
@@ -149,7 +149,7 @@
 
 /// Why no endpoint can take a request.
 #[derive(Clone, Copy, Debug, Eq, IsVariant, PartialEq)]
-pub(crate) enum NoPlace {
+pub(crate) enum PlacementError {
     /// The service has no usable endpoint.
     NoEndpoint,
     /// All usable endpoints are at capacity.
@@ -392,7 +392,7 @@
         prompt: Option<&Prompt>,
         rules: &PlacementRules,
         is_allowed: impl Fn(EndpointIndex, &EndpointRecord) -> bool,
-    ) -> Result<EndpointIndex, NoPlace> {
+    ) -> Result<EndpointIndex, PlacementError> {
         let indices = self.services.get(service).map_or(&[][..], Vec::as_slice);
         let anchor = prompt.and_then(Prompt::anchor);
         let homes = anchor.map_or(Homes::default(), |a| self.homes(now, indices, a));
@@ -404,7 +404,7 @@
         let uncached = |s: &EndpointState| prompt.map_or(0.0, |p| s.uncached_tokens(now, p));
         let usable: Vec<_> = usable.map(|(i, s)| (i, s, uncached(s))).collect();
         if usable.is_empty() {
-            return Err(NoPlace::NoEndpoint);
+            return Err(PlacementError::NoEndpoint);
         }
         // Requests wait for an engine with their prefix cached; an uncached one is read at a home.
         let is_cached = usable
@@ -439,7 +439,7 @@
                 best = Some((is_failing, cost, index));
             }
         }
-        best.map(|(_, _, index)| index).ok_or(NoPlace::Full)
+        best.map(|(_, _, index)| index).ok_or(PlacementError::Full)
     }
 
     /// Reserves a place for a request.
--- a/cornelstand/src/gateway/tests/placement.rs
+++ b/cornelstand/src/gateway/tests/placement.rs
@@ -6,7 +6,7 @@
 use crate::gateway::directory::EndpointRecord;
 use crate::gateway::endpoint_state::{Load, Prompt, PromptPart};
 use crate::gateway::placement::{
-    EndpointIndex, Endpoints, NoPlace, Place, PlaceEnd, PlacementRules,
+    EndpointIndex, Endpoints, Place, PlaceEnd, PlacementError, PlacementRules,
 };
 use crate::gateway::tests::{MODELS, ORDERS, record};
 use crate::moment::Moment;
@@ -63,7 +63,7 @@
     service: &str,
     prompt: Option<&Prompt>,
     rules: &PlacementRules,
-) -> Result<EndpointIndex, NoPlace> {
+) -> Result<EndpointIndex, PlacementError> {
     endpoints.choose(now, &ServiceName::from(service), prompt, rules, |_, _| true)
 }
 
@@ -116,7 +116,7 @@
         homes.push(index);
         endpoints.take(at(0), index, Some(&prompt)).expect("listed");
     }
-    assert_eq!(last, Err(NoPlace::Full));
+    assert_eq!(last, Err(PlacementError::Full));
     homes.sort_unstable();
     homes.dedup();
     assert_eq!(homes.len(), 1);
@@ -154,7 +154,7 @@
         endpoints.progress(at(100 + i * 200), &mut place, 6);
     }
     let found = choose(&endpoints, at(20_000), MODELS, Some(&small), &rules());
-    assert_eq!(found, Err(NoPlace::Full));
+    assert_eq!(found, Err(PlacementError::Full));
     endpoints.end(at(20_000), &place, PlaceEnd::Good);
     assert!(choose(&endpoints, at(20_000), MODELS, Some(&small), &rules()).is_ok());
 }
@@ -171,7 +171,7 @@
     let mut rules = rules();
     rules.left = Duration::from_secs(2);
     let found = choose(&endpoints, at(7_000), MODELS, Some(&small), &rules);
-    assert_eq!(found, Err(NoPlace::Full));
+    assert_eq!(found, Err(PlacementError::Full));
 }
 
 #[test]
@@ -210,7 +210,7 @@
         let before = now.after(Duration::from_millis(rest - 1));
         assert_eq!(
             choose(&endpoints, before, ORDERS, None, &rules()),
-            Err(NoPlace::NoEndpoint)
+            Err(PlacementError::NoEndpoint)
         );
         now = now.after(Duration::from_millis(rest));
     }
@@ -265,7 +265,7 @@
     leaving.leaving = true;
     let endpoints = endpoints(vec![leaving]);
     let found = choose(&endpoints, at(0), ORDERS, None, &rules());
-    assert_eq!(found, Err(NoPlace::NoEndpoint));
+    assert_eq!(found, Err(PlacementError::NoEndpoint));
 }
 
 #[test]
