--- a/cornelstand/src/gateway/gate.rs
+++ b/cornelstand/src/gateway/gate.rs
@@ -1,4 +1,4 @@
-//! The gateway's state, with one owner, and the steps that combine its parts.
+//! The state of a gateway instance, and the operations that combine its parts.
 
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
@@ -26,19 +26,19 @@
 use crate::name::{AccountName, ServiceName};
 use crate::suspect::{Suspects, Suspicion};
 
-/// Lateness of timers up to which nothing is refused for it, in milliseconds.
-const LAG_FREE: f64 = 45.0;
-/// Further lateness at which the most is refused, in milliseconds: events of running streams may be
-/// about 100 ms late.
-const LAG_SPAN: f64 = 120.0;
-/// Part of new streams that is refused at the most.
-const SHED_MOST: f64 = 0.95;
+/// Timer lag up to which no streams are shed.
+const LAG_TOLERATED_MS: f64 = 45.0;
+/// Further lag at which the most streams are shed: events of running streams may be about 100 ms
+/// late.
+const LAG_SPAN_MS: f64 = 120.0;
+/// Largest share of new streams that is shed.
+const MAX_SHED_SHARE: f64 = 0.95;
 
-/// Prompt tokens from which peers should know at once that an engine has to read them, or has: about
-/// a tenth of the queue that an engine may have.
-const NEWS_TOKENS: f64 = 1_000.0;
+/// Prompt length from which peers are told at once that its prefill is queued or done: about a
+/// tenth of the queue that an engine may have.
+const URGENT_PROMPT_TOKENS: f64 = 1_000.0;
 
-/// Everything that changes.
+/// Mutable gateway state.
 #[derive(Debug)]
 pub(crate) struct State {
     pub(crate) directory: Directory,
@@ -50,16 +50,16 @@
     pub(crate) suspicion_news: SuspicionNews,
     pub(crate) pool: Pool,
     pub(crate) outputs: Outputs,
-    grants: HashMap<WaitId, Waiter>,
-    beats: u64,
-    digests: u64,
+    waiters: HashMap<WaitId, Waiter>,
+    beat_count: u64,
+    digest_count: u64,
 }
 
 impl State {
-    /// Takes a request out of the queue for want of a place, with the time after which its caller
-    /// should come back.
+    /// Removes a request that got no place from the queue. Returns the delay after which its
+    /// caller should retry.
     fn refuse(&mut self, now: Moment, id: WaitId) -> Duration {
-        self.grants.remove(&id);
+        self.waiters.remove(&id);
         let Some(waiting) = self.admission.remove(id) else {
             return Duration::ZERO;
         };
@@ -77,7 +77,7 @@
     grant: oneshot::Sender<Place>,
 }
 
-/// One instance.
+/// A gateway instance.
 #[derive(Debug)]
 pub(crate) struct Gate {
     pub(crate) settings: RefCell<GatewaySettings>,
@@ -87,23 +87,23 @@
     pub(crate) metrics: GatewayMetrics,
     pub(crate) state: RefCell<State>,
     pub(crate) stopping: Cell<bool>,
-    /// Which new requests are refused, because they would not end before the process does.
+    /// New requests that are refused because they would not finish before the process exits.
     pub(crate) closing: Cell<Closing>,
     pub(crate) active: Cell<usize>,
-    /// Whether an endpoint may have got room since the queue was served last.
+    /// Whether capacity may have been freed since the queue was last served.
     pub(crate) has_room: Cell<bool>,
-    /// How late the process's own timers are, in milliseconds, as a moving average.
+    /// Moving average of the process's timer lag, in milliseconds.
     pub(crate) lag: Cell<f64>,
-    /// Requests a second, as a moving average.
+    /// Moving average of requests per second.
     pub(crate) activity: Cell<f64>,
-    /// Whether this instance has asked the store for its peers, and heard them if there are any.
+    /// Whether the first attempt to discover peers is over.
     pub(crate) introduced: Cell<bool>,
-    /// Wakes the sender of beats when something changed that peers should know at once.
+    /// Wakes the beat sender when peers should learn of a change at once.
     pub(crate) news: Notify,
-    /// Wakes the sender of alarms.
+    /// Wakes the alarm sender.
     pub(crate) alarm: Notify,
     pub(crate) connections: Cell<usize>,
-    /// Notices that the process was paused.
+    /// Detects pauses of the process.
     pub(crate) pauses: PauseWatch,
 }
 
@@ -115,7 +115,7 @@
     Everything,
 }
 
-/// A request that waits for its place.
+/// A queued request.
 #[derive(Debug)]
 pub(crate) struct Ticket {
     pub(crate) id: WaitId,
@@ -143,9 +143,9 @@
                 suspicion_news: SuspicionNews::default(),
                 pool: Pool::default(),
                 outputs: Outputs::default(),
-                grants: HashMap::new(),
-                beats: 0,
-                digests: 0,
+                waiters: HashMap::new(),
+                beat_count: 0,
+                digest_count: 0,
             }),
             stopping: Cell::new(false),
             closing: Cell::new(Closing::Nothing),
@@ -165,19 +165,19 @@
         self.clock.now()
     }
 
-    /// Whether callers should be sent here.
+    /// Whether callers should be routed here.
     pub(crate) fn is_ready(&self) -> bool {
         !self.stopping.get() && self.state.borrow().directory.is_complete()
     }
 
-    /// Whether a new stream is refused because this instance's own processor is the limit.
+    /// Whether to shed a new stream, chosen at random, because this instance lacks CPU time.
     pub(crate) fn sheds(&self) -> bool {
-        let excess = (self.lag.get() - LAG_FREE) / LAG_SPAN;
-        excess > 0.0 && rand::random::<f64>() < excess.min(SHED_MOST)
+        let excess = (self.lag.get() - LAG_TOLERATED_MS) / LAG_SPAN_MS;
+        excess > 0.0 && rand::random::<f64>() < excess.min(MAX_SHED_SHARE)
     }
 
-    /// Queues a request and gives places to those whose turn it is. Fails with the time after
-    /// which the caller should come back if the request would wait too long.
+    /// Queues a request and grants it a place if there is one. Fails with the delay after which
+    /// the caller should retry if the request would wait too long.
     pub(crate) fn enqueue(
         &self,
         waiting: Waiting,
@@ -189,38 +189,38 @@
         let mut state = self.state.borrow_mut();
         let id = state.admission.push(waiting);
         let tried = tried.to_vec();
-        state.grants.insert(id, Waiter { tried, grant });
+        state.waiters.insert(id, Waiter { tried, grant });
         if let Some(rules) = self.rules(&state, &service) {
-            self.grant_one(&mut state, now, id, &rules);
+            self.grant_place(&mut state, now, id, &rules);
         }
-        if state.grants.contains_key(&id) && state.admission.is_hopeless(now, id) {
+        if state.waiters.contains_key(&id) && state.admission.is_hopeless(now, id) {
             return Err(state.refuse(now, id));
         }
         self.metrics.waiting.set(gauge(state.admission.len()));
         Ok(Ticket { id, grant: granted })
     }
 
-    /// Takes a request out of the queue, with the time after which its caller should come back.
+    /// Removes a request from the queue. Returns the delay after which its caller should retry.
     pub(crate) fn withdraw(&self, id: WaitId) -> Duration {
         self.state.borrow_mut().refuse(self.now(), id)
     }
 
-    /// Gives places to waiting requests while there is room.
+    /// Grants places to queued requests while there is room.
     pub(crate) fn serve_queue(&self) {
         self.has_room.set(false);
         let mut state = self.state.borrow_mut();
         if !state.admission.is_empty() {
-            self.grant(&mut state, self.now());
+            self.grant_places(&mut state, self.now());
         }
     }
 
-    /// Lets the queue be served soon. Many events make room at about the same time, and a look at
-    /// the whole queue for each of them would cost a small processor most of its time.
-    fn make_room(&self) {
+    /// Requests a pass over the queue at the next tick. Many events free capacity at about the
+    /// same time, and a pass for each would take most of a small processor's time.
+    fn request_queue_pass(&self) {
         self.has_room.set(true);
     }
 
-    fn grant(&self, state: &mut State, now: Moment) {
+    fn grant_places(&self, state: &mut State, now: Moment) {
         let mut services: HashMap<ServiceName, Option<PlacementRules>> = HashMap::new();
         for id in state.admission.order(now) {
             let Some(waiting) = state.admission.get(id) else {
@@ -230,13 +230,13 @@
             let rules = services.entry(service);
             let rules = rules.or_insert_with_key(|service| self.rules(state, service));
             if let Some(rules) = rules {
-                self.grant_one(state, now, id, rules);
+                self.grant_place(state, now, id, rules);
             }
         }
     }
 
-    /// Gives a place to a request if there is one.
-    fn grant_one(&self, state: &mut State, now: Moment, id: WaitId, rules: &PlacementRules) {
+    /// Grants a place to a request if there is one.
+    fn grant_place(&self, state: &mut State, now: Moment, id: WaitId, rules: &PlacementRules) {
         let Some((index, waiting)) = find_place(state, now, id, rules) else {
             return;
         };
@@ -245,20 +245,20 @@
             return;
         };
         place.charged = waiting.cost();
-        if place.prompt_tokens() >= NEWS_TOKENS {
+        if place.prompt_tokens() >= URGENT_PROMPT_TOKENS {
             self.news.notify_one();
         }
         state.admission.remove(id);
         state.admission.charge(now, &waiting);
-        if let Some(waiter) = state.grants.remove(&id)
+        if let Some(waiter) = state.waiters.remove(&id)
             && let Err(place) = waiter.grant.send(place)
         {
             state.endpoints.end(now, &place, PlaceEnd::Neutral);
         }
     }
 
-    /// When an endpoint of a service that was not `tried` takes requests, `now` if one does, or
-    /// nothing if none will.
+    /// Earliest time at which an endpoint of `service` that is not in `tried` accepts requests,
+    /// or `None` if none will.
     pub(crate) fn opens(
         &self,
         now: Moment,
@@ -268,33 +268,33 @@
         opens(&self.state.borrow(), now, service, tried)
     }
 
-    /// Takes in what the endpoint of `place` said of itself.
+    /// Applies the notice that the endpoint of `place` sent.
     pub(crate) fn note(&self, place: &Place, notice: Notice) {
         if notice == Notice::default() {
             return;
         }
         let now = self.now();
         let mut state = self.state.borrow_mut();
-        let is_news = state.endpoints.note(now, place, notice);
+        let starts_leaving = state.endpoints.note(now, place, notice);
         if let Some(endpoint) = state.endpoints.get(place.index) {
             let endpoint = &endpoint.record.name;
-            if is_news {
+            if starts_leaving {
                 tracing::info!(event = "endpoint_leaves", %endpoint, source = "answer");
             }
             if let Some(rest) = notice.rest {
                 tracing::info!(event = "endpoint_rests", %endpoint, rest_ms = rest.as_millis());
             }
         }
-        if is_news || notice.rest.is_some() {
+        if starts_leaving || notice.rest.is_some() {
             release_unservable(&mut state, now);
         }
         drop(state);
-        if is_news {
+        if starts_leaving {
             self.news.notify_one();
         }
     }
 
-    /// What placement has to know of a service, the same for all its requests.
+    /// Placement rules that all requests of a service share.
     fn rules(&self, state: &State, service: &ServiceName) -> Option<PlacementRules> {
         let catalog = state.directory.catalog();
         let spec: &GatewayService = catalog.services.get(service)?;
@@ -313,22 +313,22 @@
         })
     }
 
-    /// Notes that the answer for a place has begun, which may make room.
+    /// Records that the answer for a place has begun, which may free capacity.
     pub(crate) fn begin(&self, place: &mut Place) {
         self.state.borrow_mut().endpoints.begin(self.now(), place);
-        if place.prompt_tokens() >= NEWS_TOKENS {
+        if place.prompt_tokens() >= URGENT_PROMPT_TOKENS {
             self.news.notify_one();
         }
-        self.make_room();
+        self.request_queue_pass();
     }
 
-    /// Notes that an answer went on by `tokens`.
+    /// Records `tokens` more tokens of an answer.
     pub(crate) fn progress(&self, place: &mut Place, tokens: u32) {
         let mut state = self.state.borrow_mut();
         state.endpoints.progress(self.now(), place, tokens);
     }
 
-    /// Gives a place back, which may make room.
+    /// Releases a place and serves the queue.
     pub(crate) fn end(&self, place: &Place, end: PlaceEnd) {
         self.state
             .borrow_mut()
@@ -337,21 +337,21 @@
         self.serve_queue();
     }
 
-    /// Entry of the endpoint of `place`.
+    /// Record of the endpoint of `place`.
     pub(crate) fn record(&self, place: &Place) -> Option<Rc<EndpointRecord>> {
         let state = self.state.borrow();
         let endpoint = state.endpoints.get(place.index)?;
         Some(endpoint.record.clone())
     }
 
-    /// Takes back the charge for a place at an endpoint that did not run the request.
+    /// Refunds the charge for a place at an endpoint that did not run the request.
     pub(crate) fn refund(&self, account: &AccountName, place: &Place) {
         let now = self.now();
         let mut state = self.state.borrow_mut();
         state.admission.refund(now, account, place.charged);
     }
 
-    /// Carries out changes of the set of endpoints.
+    /// Applies changes to the set of endpoints.
     pub(crate) fn apply(&self, changes: Vec<EndpointChange>) {
         let now = self.now();
         let mut state = self.state.borrow_mut();
@@ -379,8 +379,8 @@
         self.serve_queue();
     }
 
-    /// Takes in what the endpoints do, and logs what the decisions of the last moments were based
-    /// on.
+    /// Updates the admission capacity from the endpoints' load, and logs what recent
+    /// decisions were based on.
     pub(crate) fn note_load(&self) {
         let now = self.now();
         let mut state = self.state.borrow_mut();
@@ -403,30 +403,30 @@
         }
     }
 
-    /// Whether this instance watches the store; in a large fleet two of each data centre do, so that
-    /// one whose watch hangs delays nobody.
+    /// Whether this instance watches the store; in a large fleet two of each data centre do, so
+    /// that a hanging watch delays nobody.
     pub(crate) fn watches(&self) -> bool {
         let (state, now) = (self.state.borrow(), self.now());
         let is_lost = state.directory.is_store_lost(now);
         state.peers.watches(now, &self.settings.borrow(), is_lost)
     }
 
-    /// Since when the store has answered this instance or a peer of its data centre.
+    /// Time since which the store has answered a peer of this data centre, or now.
     pub(crate) fn store_since(&self) -> Moment {
         let now = self.now();
         let centre = &self.settings.borrow().centre;
-        let told = self.state.borrow().peers.store_time(now, centre);
-        now.before(told.unwrap_or_default())
+        let reported = self.state.borrow().peers.store_time(now, centre);
+        now.before(reported.unwrap_or_default())
     }
 
-    /// Whether this instance tells the other data centres what is done here.
+    /// Whether this instance is the leader of its data centre.
     pub(crate) fn leads(&self) -> bool {
         let (state, now) = (self.state.borrow(), self.now());
         let is_lost = state.directory.is_store_lost(now);
         state.peers.leads(now, &self.settings.borrow(), is_lost)
     }
 
-    /// Takes in what another data centre does. Returns whether it is news.
+    /// Applies a digest of another data centre. Returns whether it is new.
     pub(crate) fn hear_centre(&self, digest: Digest) -> bool {
         let now = self.now();
         self.metrics.beats.inc();
@@ -435,17 +435,17 @@
         state.peers.hear_centre(now, digest)
     }
 
-    /// What this data centre does, for the others.
+    /// Builds the digest of this data centre.
     pub(crate) fn digest(&self) -> Digest {
         let now = self.now();
-        let own = self.tell(now, |news| &mut news.digests);
+        let own = self.build_beat(now, |news| &mut news.digests);
         let sender = peer_address(&self.settings.borrow());
         let mut state = self.state.borrow_mut();
-        state.digests += 1;
-        state.peers.digest(now, &own, state.digests, sender)
+        state.digest_count += 1;
+        state.peers.digest(now, &own, state.digest_count, sender)
     }
 
-    /// What all peers should know at once, if there is anything.
+    /// Takes the suspicions due to all peers at once.
     pub(crate) fn alarms(&self) -> Vec<Suspicion> {
         let now = self.now();
         let mut state = self.state.borrow_mut();
@@ -456,14 +456,14 @@
         suspicions
     }
 
-    /// Takes in an alarm of a peer.
+    /// Applies an alarm of a peer.
     pub(crate) fn hear_alarm(&self, suspicions: &[Suspicion]) {
         let now = self.now();
         let mut state = self.state.borrow_mut();
         state.hear_suspicions(&self.metrics, now, Source::Alarm, suspicions);
     }
 
-    /// Takes in a beat of a peer.
+    /// Applies a beat of a peer.
     pub(crate) fn hear(&self, address: std::net::SocketAddr, beat: Beat) {
         let now = self.now();
         self.metrics.beats.inc();
@@ -471,13 +471,13 @@
         let state = &mut *state;
         self.hear_news(state, now, Source::Beat, &beat.news);
         let name = beat.instance.clone();
-        let is_near = beat.centre == self.settings.borrow().centre;
-        if state.peers.hear(now, address, beat) && is_near {
+        let is_same_centre = beat.centre == self.settings.borrow().centre;
+        if state.peers.hear(now, address, beat) && is_same_centre {
             tracing::info!(event = "peer_heard", peer = %name, %address);
         }
     }
 
-    /// Takes in what a message tells, whichever kind it is.
+    /// Applies the news of a beat or a digest.
     fn hear_news(&self, state: &mut State, now: Moment, source: Source, news: &News) {
         let News {
             suspicions,
@@ -489,7 +489,7 @@
         state.endpoints.hear_residents(now, residents);
     }
 
-    /// Takes the peers' load into the decisions.
+    /// Applies the peers' load to decisions.
     pub(crate) fn count_peers(&self) {
         let now = self.now();
         let mut state = self.state.borrow_mut();
@@ -508,17 +508,17 @@
             .set_wanting(state.peers.wanting(now, centre));
     }
 
-    /// The beat to send now.
+    /// Builds the next beat.
     pub(crate) fn beat(&self) -> Beat {
-        self.tell(self.now(), |news| &mut news.beats)
+        self.build_beat(self.now(), |news| &mut news.beats)
     }
 
-    /// What this instance does and knows, with the suspicions that `outbox` holds for the message.
-    fn tell(&self, now: Moment, outbox: impl Fn(&mut SuspicionNews) -> &mut Outbox) -> Beat {
+    /// Builds a beat with this instance's state and the suspicions due in `outbox`.
+    fn build_beat(&self, now: Moment, outbox: impl Fn(&mut SuspicionNews) -> &mut Outbox) -> Beat {
         let settings = self.settings.borrow();
         let mut state = self.state.borrow_mut();
         let state = &mut *state;
-        state.beats += 1;
+        state.beat_count += 1;
         let outbox = outbox(&mut state.suspicion_news);
         let suspicions = outbox.take(now, &state.suspects);
         self.metrics.untold.inc_by(outbox.take_untold());
@@ -533,7 +533,7 @@
             cores: settings.cores,
             activity: short(self.activity.get()),
             incarnation: self.incarnation,
-            number: state.beats,
+            number: state.beat_count,
             store_time: state.directory.store_time(now),
             store_lost: state.directory.is_store_lost(now),
             marks: state.directory.marks(),
@@ -559,8 +559,8 @@
     }
 }
 
-/// When an endpoint of a service that was not `tried` takes requests, `now` if one does, or nothing
-/// if none will.
+/// Earliest time at which an endpoint of `service` that is not in `tried` accepts requests, or
+/// `None` if none will.
 fn opens(
     state: &State,
     now: Moment,
@@ -573,33 +573,39 @@
     })
 }
 
-/// Takes in endpoints that a peer knows to leave.
+/// Marks endpoints that a peer reports as leaving.
 fn note_leaving(state: &mut State, now: Moment, endpoints: &[u32]) {
-    let news = state.endpoints.note_leaving(now, endpoints);
-    for endpoint in &news {
+    let newly_leaving = state.endpoints.note_leaving(now, endpoints);
+    for endpoint in &newly_leaving {
         tracing::info!(event = "endpoint_leaves", %endpoint, source = "peer");
     }
-    if !news.is_empty() {
+    if !newly_leaving.is_empty() {
         release_unservable(state, now);
     }
 }
 
-/// Ends the wait of requests that no endpoint will take before they give up.
+/// Ends the wait of requests that no endpoint will accept before they give up.
 fn release_unservable(state: &mut State, now: Moment) {
     let is_unservable = |id: &WaitId| {
-        let (Some(waiting), Some(waiter)) = (state.admission.get(*id), state.grants.get(id)) else {
+        let (Some(waiting), Some(waiter)) = (state.admission.get(*id), state.waiters.get(id))
+        else {
             return false;
         };
         let opens = opens(state, now, &waiting.service, &waiter.tried);
         opens.is_none_or(|o| o > waiting.gives_up)
     };
-    let ended: Vec<WaitId> = state.grants.keys().copied().filter(is_unservable).collect();
-    for id in ended {
-        state.grants.remove(&id);
+    let unservable: Vec<WaitId> = state
+        .waiters
+        .keys()
+        .copied()
+        .filter(is_unservable)
+        .collect();
+    for id in unservable {
+        state.waiters.remove(&id);
     }
 }
 
-/// Endpoint for a request that waits, if one has room and no other request comes first.
+/// Endpoint for a queued request, if one has room and no other request has priority.
 fn find_place(
     state: &State,
     now: Moment,
@@ -615,7 +621,7 @@
     let is_wanted = prompt.is_some_and(|p| state.endpoints.is_wanted(now, p));
     rules.kept_only = now < waiting.spreads && !is_wanted;
     rules.left = waiting.ends.since(now);
-    let tried = &state.grants.get(&id)?.tried;
+    let tried = &state.waiters.get(&id)?.tried;
     let directory = &state.directory;
     let index = state.endpoints.choose(
         now,
