--- a/cornelstand/src/gateway/peers_link.rs
+++ b/cornelstand/src/gateway/peers_link.rs
@@ -1,4 +1,4 @@
-//! Messages between instances, as datagrams.
+//! UDP datagrams between instances.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -11,30 +11,29 @@
 use crate::gateway::number::float;
 use crate::gateway::peers::Message;
 
-/// Time between two beats in a small fleet: what decisions of peers are based on is this old.
+/// Beat interval in a small fleet, which bounds the age of the state behind peers' decisions.
 const BEAT_PERIOD: Duration = Duration::from_millis(40);
-/// Longest time between two beats; well below the silence after which a peer counts as lost.
-const BEAT_MAX: Duration = Duration::from_millis(500);
-/// Datagrams that an instance takes in a second from its data centre: some 2% of a small processor.
-const DATAGRAMS: f64 = 150.0;
-/// Time between two digests of a data centre.
+/// Longest beat interval; well below the silence after which a peer counts as lost.
+const BEAT_PERIOD_MAX: Duration = Duration::from_millis(500);
+/// Datagrams that an instance handles per second from its data centre: some 2% of a small CPU.
+const DATAGRAMS_PER_S: f64 = 150.0;
+/// Digest interval of a data centre.
 pub(crate) const DIGEST_PERIOD: Duration = Duration::from_millis(80);
-/// Largest datagram, in bytes.
-const DATAGRAM_BYTES: usize = 60 * 1024;
+const MAX_DATAGRAM_BYTES: usize = 60 * 1024;
 
 /// Sends beats until the process ends.
 pub(crate) async fn send_beats(gate: Rc<Gate>, socket: Rc<UdpSocket>) {
     loop {
         let period = beat_period(&gate);
         sleep(BEAT_PERIOD).await;
-        // Without news the time is over, which is the usual case.
+        // A timeout is the usual case: there was no news.
         let _ = timeout(period.saturating_sub(BEAT_PERIOD), gate.news.notified()).await;
         send_beat(&gate, &socket);
     }
 }
 
-/// Time until the next beat. Instances with more requests send more often, because others have to
-/// know more of them; all together send a fixed number.
+/// Time until the next beat. The instances of a data centre share a fixed total rate; busier ones
+/// send more often, because their state matters more to others.
 pub(crate) fn beat_period(gate: &Gate) -> Duration {
     let centre = gate.settings.borrow().centre.clone();
     let state = gate.state.borrow();
@@ -44,11 +43,11 @@
     }
     let own = gate.activity.get() + 1.0;
     let all = state.peers.activity(gate.now(), &centre) + own + float(listeners);
-    let rate = DATAGRAMS * own / all;
-    Duration::from_secs_f64(1.0 / rate).clamp(BEAT_PERIOD, BEAT_MAX)
+    let rate = DATAGRAMS_PER_S * own / all;
+    Duration::from_secs_f64(1.0 / rate).clamp(BEAT_PERIOD, BEAT_PERIOD_MAX)
 }
 
-/// A message, and where it goes.
+/// A message and its receivers.
 #[derive(Debug)]
 pub(crate) struct Packet {
     pub(crate) bytes: Vec<u8>,
@@ -74,7 +73,7 @@
     Packet::new(&Message::Beat(beat), listeners)
 }
 
-/// The digest to send now, while this instance tells the other data centres what is done in its own.
+/// The digest to send now, if this instance is the leader of its data centre in a large fleet.
 pub(crate) fn digest_packet(gate: &Gate) -> Option<Packet> {
     if !gate.state.borrow().peers.is_large() || !gate.leads() {
         let now = gate.now();
@@ -99,8 +98,8 @@
     Packet::new(&Message::Alarm(suspicions), all)
 }
 
-/// Takes in a message. Returns where it is passed on to: the digest of another data centre goes to
-/// the instances of this one.
+/// Handles a datagram. Returns the addresses to which it is forwarded: a new digest of another data
+/// centre goes to the instances of this one.
 pub(crate) fn take(gate: &Gate, address: SocketAddr, bytes: &[u8]) -> Vec<SocketAddr> {
     let message = match postcard::from_bytes::<Message>(bytes) {
         Ok(message) => message,
@@ -117,8 +116,8 @@
         Message::Digest(digest) => {
             let centre = gate.settings.borrow().centre.clone();
             let mut listeners = gate.state.borrow().peers.listeners(&centre);
-            let is_passed_on = listeners.contains(&address);
-            if !gate.hear_centre(digest) || is_passed_on {
+            let is_forwarded = listeners.contains(&address);
+            if !gate.hear_centre(digest) || is_forwarded {
                 listeners.clear();
             }
             listeners
@@ -137,7 +136,7 @@
     }
 }
 
-/// Tells the other data centres what is done in this one, while this instance leads it.
+/// Sends digests to the other data centres, while this instance leads its own.
 pub(crate) async fn send_digests(gate: Rc<Gate>, socket: Rc<UdpSocket>) {
     loop {
         sleep(DIGEST_PERIOD).await;
@@ -160,16 +159,16 @@
 
 fn send(socket: &UdpSocket, bytes: &[u8], addresses: &[SocketAddr]) {
     for address in addresses {
-        // The next message replaces one that is lost.
+        // No retry: the next message replaces a lost one.
         if let Err(error) = socket.try_send_to(bytes, *address) {
             tracing::debug!(event = "message_unsent", %address, %error);
         }
     }
 }
 
-/// Takes in beats until the process ends.
+/// Handles messages until the process ends.
 pub(crate) async fn hear_beats(gate: Rc<Gate>, socket: Rc<UdpSocket>) {
-    let mut buffer = vec![0; DATAGRAM_BYTES];
+    let mut buffer = vec![0; MAX_DATAGRAM_BYTES];
     let mut ticks = interval(BEAT_PERIOD / 2);
     ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
     loop {
@@ -178,16 +177,16 @@
             sleep(BEAT_PERIOD).await;
             continue;
         }
-        let mut is_any = false;
+        let mut has_received = false;
         while let Ok((length, address)) = socket.try_recv_from(&mut buffer) {
             let bytes = &buffer[..length];
             send(&socket, bytes, &take(&gate, address, bytes));
-            is_any = true;
+            has_received = true;
         }
-        if is_any {
+        if has_received {
             gate.count_peers();
             gate.serve_queue();
-            // Beats that come close together are taken in at once.
+            // Batches beats that arrive close together.
             ticks.tick().await;
         }
     }
