--- a/cornelstand/src/gateway/message.rs
+++ b/cornelstand/src/gateway/message.rs
@@ -1,22 +1,22 @@
-//! HTTP/1.1 messages: heads parsed in place, and bodies taken out of their framing.
+//! HTTP/1.1 messages: heads parsed in place, and bodies decoded from their framing.
 //!
-//! Both edges of the gateway use these types. A client library would hide what the gateway has to
-//! see: bytes behind an answer, an answer that ends by a reset, a late answer to an earlier request
-//! on the same connection. Framing that two parsers could read differently is refused.
+//! Both the caller and the endpoint side use these types. An HTTP library would hide what the
+//! gateway has to detect: bytes after a response, a response cut off by a reset, a late response to
+//! an earlier request on the connection. Ambiguous framing is rejected (request smuggling).
 
 use bytes::{Buf, Bytes, BytesMut};
 use derive_more::{Display, IsVariant};
 
-/// Most headers of a message; what common servers accept.
+/// Most headers of a message, as common servers accept.
 const MAX_HEADERS: usize = 100;
-/// Longest line that gives the size of a chunk, in bytes; extensions are not used here.
-const CHUNK_LINE_BYTES: usize = 256;
-/// Most bytes of trailers, which are dropped.
-const TRAILER_BYTES: usize = 8 * 1024;
-/// Most hexadecimal digits of a chunk's size, so that it fits 60 bits.
-const CHUNK_DIGITS: usize = 15;
-
-/// Why a message cannot be accepted.
+/// Longest chunk-size line; chunk extensions are not used here.
+const MAX_CHUNK_LINE_BYTES: usize = 256;
+/// Most bytes of trailers, which are discarded.
+const MAX_TRAILER_BYTES: usize = 8 * 1024;
+/// Most hexadecimal digits of a chunk size, so that it fits 60 bits.
+const MAX_CHUNK_DIGITS: usize = 15;
+
+/// Why a message is rejected.
 #[derive(Clone, Copy, Debug, Display, Eq, IsVariant, PartialEq)]
 pub(crate) enum MessageError {
     #[display("head is larger than allowed")]
@@ -29,41 +29,41 @@
     BodyTooLarge,
 }
 
-/// Bytes of the head that hold one header.
+/// Byte ranges of one header in the head.
 #[derive(Clone, Copy, Debug)]
 struct Field {
     name: (usize, usize),
     value: (usize, usize),
 }
 
-/// First line of a message.
+/// Parsed start line.
 #[derive(Clone, Debug)]
-enum Start {
+enum StartLine {
     Request {
         method: (usize, usize),
         target: (usize, usize),
     },
-    Answer {
+    Response {
         status: u16,
     },
 }
 
-/// Head of a request or answer.
+/// Head of a request or response.
 #[derive(Clone, Debug)]
 pub(crate) struct Head {
     bytes: Bytes,
-    start: Start,
+    start: StartLine,
     minor: u8,
     fields: Vec<Field>,
 }
 
 impl Head {
-    /// Takes the head of a request from `buffer` once it is complete.
+    /// Splits a request head off `buffer` once it is complete.
     pub(crate) fn request(
         buffer: &mut BytesMut,
         limit: usize,
     ) -> Result<Option<Self>, MessageError> {
-        // Empty lines before a request are allowed by the protocol.
+        // RFC 9112 allows empty lines before a request.
         while buffer.starts_with(b"\r\n") {
             buffer.advance(2);
         }
@@ -73,7 +73,7 @@
         let httparse::Status::Complete(length) = status else {
             return incomplete(buffer, limit);
         };
-        let start = Start::Request {
+        let start = StartLine::Request {
             method: range(buffer, request.method.unwrap_or_default().as_bytes()),
             target: range(buffer, request.path.unwrap_or_default().as_bytes()),
         };
@@ -82,22 +82,22 @@
         Self::take(buffer, length, limit, start, minor, fields)
     }
 
-    /// Takes the head of an answer from `buffer` once it is complete.
+    /// Splits a response head off `buffer` once it is complete.
     pub(crate) fn answer(
         buffer: &mut BytesMut,
         limit: usize,
     ) -> Result<Option<Self>, MessageError> {
         let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
-        let mut answer = httparse::Response::new(&mut headers);
-        let status = answer.parse(buffer).map_err(|_| MessageError::BadHead)?;
+        let mut response = httparse::Response::new(&mut headers);
+        let status = response.parse(buffer).map_err(|_| MessageError::BadHead)?;
         let httparse::Status::Complete(length) = status else {
             return incomplete(buffer, limit);
         };
-        let start = Start::Answer {
-            status: answer.code.unwrap_or_default(),
+        let start = StartLine::Response {
+            status: response.code.unwrap_or_default(),
         };
-        let minor = answer.version.unwrap_or_default();
-        let fields = fields(buffer, answer.headers);
+        let minor = response.version.unwrap_or_default();
+        let fields = fields(buffer, response.headers);
         Self::take(buffer, length, limit, start, minor, fields)
     }
 
@@ -105,7 +105,7 @@
         buffer: &mut BytesMut,
         length: usize,
         limit: usize,
-        start: Start,
+        start: StartLine,
         minor: u8,
         fields: Vec<Field>,
     ) -> Result<Option<Self>, MessageError> {
@@ -123,26 +123,26 @@
 
     pub(crate) fn method(&self) -> &str {
         match self.start {
-            Start::Request { method, .. } => self.text(method),
-            Start::Answer { .. } => "",
+            StartLine::Request { method, .. } => self.text(method),
+            StartLine::Response { .. } => "",
         }
     }
 
     pub(crate) fn target(&self) -> &str {
         match self.start {
-            Start::Request { target, .. } => self.text(target),
-            Start::Answer { .. } => "",
+            StartLine::Request { target, .. } => self.text(target),
+            StartLine::Response { .. } => "",
         }
     }
 
     pub(crate) fn status(&self) -> u16 {
         match self.start {
-            Start::Answer { status } => status,
-            Start::Request { .. } => 0,
+            StartLine::Response { status } => status,
+            StartLine::Request { .. } => 0,
         }
     }
 
-    /// Whether the peer speaks HTTP/1.0, which knows no chunks.
+    /// Whether the sender speaks HTTP/1.0, which has no chunked coding.
     pub(crate) fn is_old(&self) -> bool {
         self.minor == 0
     }
@@ -156,11 +156,11 @@
 
     /// All values of a header.
     pub(crate) fn values<'a>(&'a self, name: &'a str) -> impl Iterator<Item = &'a [u8]> {
-        let same = move |(n, _): &(&str, &[u8])| n.eq_ignore_ascii_case(name);
-        self.headers().filter(same).map(|(_, value)| value)
+        let has_name = move |(n, _): &(&str, &[u8])| n.eq_ignore_ascii_case(name);
+        self.headers().filter(has_name).map(|(_, value)| value)
     }
 
-    /// First value of a header, if it is text.
+    /// First value of a header, if it is UTF-8.
     pub(crate) fn get(&self, name: &str) -> Option<&str> {
         let value = self
             .headers()
@@ -185,13 +185,13 @@
         !self.has_token("connection", "close")
     }
 
-    /// Framing of a request's body.
+    /// Reader for a request's body.
     pub(crate) fn request_body(&self) -> Result<BodyReader, MessageError> {
         let framing = self.framing()?;
         Ok(BodyReader::new(framing.unwrap_or(Framing::Length(0))))
     }
 
-    /// Framing of an answer's body to a request with `method`.
+    /// Reader for the body of a response to a `method` request.
     pub(crate) fn answer_body(&self, method: &str) -> Result<BodyReader, MessageError> {
         let status = self.status();
         if method == "HEAD" || status == 204 || status == 304 || status < 200 {
@@ -213,7 +213,7 @@
             (None, None) => Ok(None),
             (Some(coding), None) if !self.is_old() => {
                 let is_chunked = coding.trim_ascii().eq_ignore_ascii_case(b"chunked");
-                let framing = is_chunked.then_some(Framing::Chunked(Chunk::Size));
+                let framing = is_chunked.then_some(Framing::Chunked(ChunkState::Size));
                 framing.map(Some).ok_or(MessageError::BadFraming)
             }
             (None, Some(length)) => {
@@ -258,18 +258,18 @@
     headers.iter().map(field).collect()
 }
 
-/// How the end of a body is found.
+/// How the end of a body is determined.
 #[derive(Clone, Copy, Debug)]
 enum Framing {
     /// Bytes left.
     Length(u64),
-    Chunked(Chunk),
+    Chunked(ChunkState),
     UntilClose,
 }
 
-/// Where in a chunked body the reader is.
+/// Position in a chunked body.
 #[derive(Clone, Copy, Debug)]
-enum Chunk {
+enum ChunkState {
     Size,
     /// Bytes left in the chunk.
     Data(u64),
@@ -279,7 +279,7 @@
     End,
 }
 
-/// Takes a body out of its framing.
+/// Decodes a body from its framing.
 #[derive(Clone, Debug)]
 pub(crate) struct BodyReader {
     framing: Framing,
@@ -290,7 +290,7 @@
         Self { framing }
     }
 
-    /// Length of the whole body, if the head tells it.
+    /// Length of the whole body, if the head states it.
     pub(crate) fn length(&self) -> Option<u64> {
         match self.framing {
             Framing::Length(length) => Some(length),
@@ -298,7 +298,7 @@
         }
     }
 
-    /// Whether the body ends with its connection.
+    /// Whether the body ends when the connection closes.
     pub(crate) fn is_until_close(&self) -> bool {
         matches!(self.framing, Framing::UntilClose)
     }
@@ -307,11 +307,11 @@
     pub(crate) fn is_done(&self) -> bool {
         matches!(
             self.framing,
-            Framing::Length(0) | Framing::Chunked(Chunk::End)
+            Framing::Length(0) | Framing::Chunked(ChunkState::End)
         )
     }
 
-    /// Moves what belongs to the body from `input` to `output`.
+    /// Decodes body bytes from `input` into `output`.
     pub(crate) fn read(
         &mut self,
         input: &mut BytesMut,
@@ -340,31 +340,31 @@
 }
 
 fn read_chunks(
-    chunk: &mut Chunk,
+    chunk: &mut ChunkState,
     input: &mut BytesMut,
     output: &mut BytesMut,
 ) -> Result<(), MessageError> {
     loop {
         match chunk {
-            Chunk::Size => {
-                let Some(line) = take_line(input, CHUNK_LINE_BYTES)? else {
+            ChunkState::Size => {
+                let Some(line) = take_line(input, MAX_CHUNK_LINE_BYTES)? else {
                     return Ok(());
                 };
                 let size = chunk_size(&line)?;
                 *chunk = if size == 0 {
-                    Chunk::Trailer(0)
+                    ChunkState::Trailer(0)
                 } else {
-                    Chunk::Data(size)
+                    ChunkState::Data(size)
                 };
             }
-            Chunk::Data(left) => {
+            ChunkState::Data(left) => {
                 move_bytes(left, input, output);
                 if *left > 0 {
                     return Ok(());
                 }
-                *chunk = Chunk::DataEnd;
+                *chunk = ChunkState::DataEnd;
             }
-            Chunk::DataEnd => {
+            ChunkState::DataEnd => {
                 if input.len() < 2 {
                     return Ok(());
                 }
@@ -372,26 +372,26 @@
                     return Err(MessageError::BadFraming);
                 }
                 input.advance(2);
-                *chunk = Chunk::Size;
+                *chunk = ChunkState::Size;
             }
-            Chunk::Trailer(bytes) => {
-                let Some(line) = take_line(input, TRAILER_BYTES)? else {
+            ChunkState::Trailer(bytes) => {
+                let Some(line) = take_line(input, MAX_TRAILER_BYTES)? else {
                     return Ok(());
                 };
                 *bytes += line.len();
-                if *bytes > TRAILER_BYTES {
+                if *bytes > MAX_TRAILER_BYTES {
                     return Err(MessageError::BadFraming);
                 }
                 if line.is_empty() {
-                    *chunk = Chunk::End;
+                    *chunk = ChunkState::End;
                 }
             }
-            Chunk::End => return Ok(()),
+            ChunkState::End => return Ok(()),
         }
     }
 }
 
-/// Takes a line without its end.
+/// Takes a line without its CRLF.
 fn take_line(input: &mut BytesMut, limit: usize) -> Result<Option<BytesMut>, MessageError> {
     let Some(end) = memchr::memchr(b'\n', input) else {
         if input.len() > limit {
@@ -410,14 +410,14 @@
 fn chunk_size(line: &[u8]) -> Result<u64, MessageError> {
     let digits = line.split(|b| *b == b';').next().unwrap_or_default();
     let is_size = !digits.is_empty()
-        && digits.len() <= CHUNK_DIGITS
+        && digits.len() <= MAX_CHUNK_DIGITS
         && digits.iter().all(u8::is_ascii_hexdigit);
     let text = std::str::from_utf8(digits).ok().filter(|_| is_size);
     let size = text.and_then(|t| u64::from_str_radix(t, 16).ok());
     size.ok_or(MessageError::BadFraming)
 }
 
-/// Phrase of a status, for the first line of an answer.
+/// Reason phrase of a status, for the status line.
 pub(crate) fn reason(status: u16) -> &'static str {
     let status = http::StatusCode::from_u16(status).ok();
     let reason = status.and_then(|s| s.canonical_reason());
