--- a/cornelstand/src/gateway/containment.rs
+++ b/cornelstand/src/gateway/containment.rs
@@ -1,8 +1,8 @@
-//! Requests that crash the endpoints that run them.
+//! Detection of requests that crash their endpoints.
 //!
-//! An attempt that broke off counts as a crash if its endpoint does not take a connection right
-//! afterwards, or is known to have started again. What is known of the request goes to the peers with
-//! the next messages; see [`crate::gateway::suspicion_news`].
+//! A broken attempt counts as a crash if its endpoint does not accept a connection right
+//! afterwards, or is known to have restarted. The suspicion is sent to the peers with the next
+//! messages; see [`crate::gateway::suspicion_news`].
 
 use std::time::Duration;
 
@@ -16,13 +16,13 @@
 use crate::name::{BootId, Fingerprint};
 use crate::suspect::{Crash, MAX_CRASHES, Standing, Suspects, Suspicion};
 
-/// Longest wait for an endpoint to take a connection.
+/// Timeout for connecting to an endpoint.
 const PROBE_TIMEOUT: Duration = Duration::from_millis(250);
 
-/// Where a belief about a request comes from.
+/// Where a suspicion comes from.
 #[derive(Clone, Copy, Debug, Eq, IsVariant, PartialEq)]
 pub(crate) enum Source {
-    /// This instance saw it.
+    /// Observed by this instance.
     Own,
     Beat,
     Digest,
@@ -30,7 +30,7 @@
 }
 
 impl Source {
-    /// Name in log lines and metrics.
+    /// Label in log lines and metrics.
     fn name(self) -> &'static str {
         match self {
             Self::Own => "own",
@@ -51,8 +51,8 @@
         }
     }
 
-    /// Counts a crash against a request if the endpoint that ran it, sent at `sent`, is down or has
-    /// started again.
+    /// Counts a crash against a request, sent at `sent`, if the endpoint that ran it is down or has
+    /// restarted.
     pub(crate) async fn examine(&self, request: Fingerprint, ran: &EndpointRecord, sent: Moment) {
         let is_up = Upstream::connect(ran.address, PROBE_TIMEOUT).await.is_ok();
         let has_restarted = self.state.borrow().endpoints.is_replaced(ran);
@@ -70,7 +70,7 @@
             .borrow()
             .suspects
             .was_known(sent, request, &crash);
-        // It took the request after that crash, so this start of it is one that is not listed yet.
+        // It got the request after that crash, so its later lifetime crashed and is not listed yet.
         if was_known {
             crash.boot = None;
         }
@@ -82,37 +82,39 @@
         let now = self.now();
         let endpoint = crash.endpoint.clone();
         let mut state = self.state.borrow_mut();
-        let noted = state.learn(&self.metrics, now, Source::Own, request, |suspects| {
-            suspects.note(now, request, crash);
-        });
+        let evidence =
+            state.update_evidence(&self.metrics, now, Source::Own, request, |suspects| {
+                suspects.note(now, request, crash);
+            });
         tracing::info!(
-            event = "endpoint_crashed", %endpoint, fingerprint = %request, crashes = noted.crashes,
+            event = "endpoint_crashed", %endpoint, fingerprint = %request,
+            crashes = evidence.crashes,
         );
         drop(state);
         self.news.notify_one();
-        if noted.is_refused {
+        if evidence.is_refused {
             self.alarm.notify_one();
         }
     }
 
-    /// Takes in a whole answer, which may clear the request.
+    /// Records a complete answer, which may clear the request.
     pub(crate) fn note_answer(&self, request: Fingerprint, status: u16) {
         let now = self.now();
         let mut state = self.state.borrow_mut();
-        state.learn(&self.metrics, now, Source::Own, request, |suspects| {
+        state.update_evidence(&self.metrics, now, Source::Own, request, |suspects| {
             suspects.answer(now, request, status);
         });
     }
 }
 
-/// What is held against a request.
+/// Evidence against a request.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-struct Held {
+struct Evidence {
     crashes: usize,
     is_refused: bool,
 }
 
-impl Held {
+impl Evidence {
     fn of(suspects: &Suspects, now: Moment, request: Fingerprint) -> Self {
         Self {
             crashes: suspects.crashes(request),
@@ -122,7 +124,7 @@
 }
 
 impl State {
-    /// Takes in what a peer holds against requests.
+    /// Merges the suspicions of a peer.
     pub(crate) fn hear_suspicions(
         &mut self,
         metrics: &GatewayMetrics,
@@ -130,30 +132,30 @@
         source: Source,
         suspicions: &[Suspicion],
     ) {
-        for told in suspicions {
-            let request = told.fingerprint;
-            let held = self.learn(metrics, now, source, request, |suspects| {
-                suspects.merge(now, told.clone());
+        for received in suspicions {
+            let request = received.fingerprint;
+            let evidence = self.update_evidence(metrics, now, source, request, |suspects| {
+                suspects.merge(now, received.clone());
             });
-            // The peer counts too few to refuse it, and is told again.
-            if held.is_refused && told.crashes.len() < MAX_CRASHES {
+            // The peer knows too few crashes to refuse it, and is sent them again.
+            if evidence.is_refused && received.crashes.len() < MAX_CRASHES {
                 self.suspicion_news.reply(now, source, request);
             }
         }
     }
 
-    /// Changes what is held against a request, and lets those know whom the news did not reach.
-    fn learn(
+    /// Changes the evidence against a request, and queues the change for peers that do not know it.
+    fn update_evidence(
         &mut self,
         metrics: &GatewayMetrics,
         now: Moment,
         source: Source,
         request: Fingerprint,
         change: impl FnOnce(&mut Suspects),
-    ) -> Held {
-        let before = Held::of(&self.suspects, now, request);
+    ) -> Evidence {
+        let before = Evidence::of(&self.suspects, now, request);
         change(&mut self.suspects);
-        let after = Held::of(&self.suspects, now, request);
+        let after = Evidence::of(&self.suspects, now, request);
         if after == before {
             return after;
         }
