--- a/cornelstand/src/gateway/suspicion_news.rs
+++ b/cornelstand/src/gateway/suspicion_news.rs
@@ -1,9 +1,9 @@
-//! Which suspicions the next message tells.
+//! Which suspicions the next message carries.
 //!
-//! A crash makes suspects of all requests that ran at the endpoint, and a message has room for some of
-//! them. So each change of what is held against a request waits for its turn and is told a few times,
-//! because messages get lost; requests that are refused come first. All that are refused are told
-//! again in turn, to instances that started later or were cut off meanwhile.
+//! A crash makes suspects of all requests that ran at the endpoint, and a message has room for some
+//! of them. So each change of a suspicion is queued and sent a few times, because messages get
+//! lost; refused requests come first. All refused requests are also sent again in rotation, for
+//! instances that started later or were cut off meanwhile.
 
 use std::collections::VecDeque;
 use std::time::Duration;
@@ -13,59 +13,60 @@
 use crate::name::Fingerprint;
 use crate::suspect::{Suspects, Suspicion};
 
-/// Times that a change is told: with one message in ten lost, one change in a thousand is lost.
-const REPEATS: u32 = 3;
-/// Time after which a change is no news any more, beyond the 3 to 4 s within which the platform wants
-/// it known.
-const NEWS_TIME: Duration = Duration::from_secs(5);
-/// Most changes that wait: at two beats a second, the fewest, each is told once within [`NEWS_TIME`].
-const MAX_WAITING: usize = 10 * BEAT_ROOM;
-/// Suspicions for which a beat has room: some 50 bytes each, and a crash makes up to 64 suspects.
-const BEAT_ROOM: usize = 32;
-/// Suspicions for which a digest has room; it tells those of a whole data centre.
-const DIGEST_ROOM: usize = 64;
-
-/// Refused requests that a message tells again, besides its news. An instance that starts hears some
+/// Times that a change is sent: with one message in ten lost, one change in a thousand is lost.
+const SENDS_PER_CHANGE: u32 = 3;
+/// Time after which a change is no longer sent, beyond the 3 to 4 s within which the platform
+/// requires it to be known.
+const CHANGE_LIFETIME: Duration = Duration::from_secs(5);
+/// Most queued changes: at two beats a second, the lowest rate, each is sent once within
+/// [`CHANGE_LIFETIME`].
+const MAX_QUEUED: usize = 10 * BEAT_CAPACITY;
+/// Most suspicions in a beat: some 50 bytes each, and a crash makes up to 64 suspects.
+const BEAT_CAPACITY: usize = 32;
+/// Most suspicions in a digest, which carries those of a whole data centre.
+const DIGEST_CAPACITY: usize = 64;
+
+/// Refused requests that a message repeats, besides its changes. A starting instance receives some
 /// 150 beats a second in a large fleet, and 25 of each peer in a small one: a few hundred requests
-/// within the 3 s that the platform grants it.
-const REFRESHED: usize = 4;
+/// within the 3 s that the platform allows it.
+const REFRESH_COUNT: usize = 4;
 
-/// Changes that wait to be told in one kind of message.
+/// Changes queued for one kind of message.
 #[derive(Debug)]
 pub(crate) struct Outbox {
-    room: usize,
-    repeats: u32,
+    capacity: usize,
+    sends: u32,
     refused: VecDeque<Change>,
     others: VecDeque<Change>,
-    /// Refused request that was told again last.
-    refreshed: Option<Fingerprint>,
-    /// Changes that were dropped before they were told once.
-    untold: u64,
+    /// Refused request that was repeated last.
+    last_refreshed: Option<Fingerprint>,
+    /// Changes that were dropped before they were sent once.
+    unsent: u64,
 }
 
 #[derive(Clone, Copy, Debug)]
 struct Change {
     request: Fingerprint,
-    since: Moment,
-    /// Times that it still has to be told.
-    left: u32,
-    /// Whether it was told once.
-    is_told: bool,
+    queued_at: Moment,
+    /// Number of sends left.
+    sends_left: u32,
+    /// Whether it was sent once.
+    is_sent: bool,
 }
 
 impl Outbox {
-    fn new(room: usize, repeats: u32) -> Self {
+    fn new(capacity: usize, sends: u32) -> Self {
         Self {
-            room,
-            repeats,
+            capacity,
+            sends,
             refused: VecDeque::new(),
             others: VecDeque::new(),
-            refreshed: None,
-            untold: 0,
+            last_refreshed: None,
+            unsent: 0,
         }
     }
 
-    /// Notes that what is held against `request` has changed.
+    /// Queues a change of the suspicion of `request`.
     pub(crate) fn push(&mut self, now: Moment, request: Fingerprint, is_refused: bool) {
         self.refused.retain(|c| c.request != request);
         self.others.retain(|c| c.request != request);
@@ -76,47 +77,47 @@
         };
         queue.push_back(Change {
             request,
-            since: now,
-            left: self.repeats,
-            is_told: false,
+            queued_at: now,
+            sends_left: self.sends,
+            is_sent: false,
         });
-        if queue.len() > MAX_WAITING {
+        if queue.len() > MAX_QUEUED {
             let dropped = queue.pop_front();
-            self.untold += u64::from(dropped.is_some_and(|c| !c.is_told));
+            self.unsent += u64::from(dropped.is_some_and(|c| !c.is_sent));
         }
     }
 
-    /// Suspicions for the message to send at `now`: changes, and refused requests whose turn it is.
+    /// Suspicions for the message to send at `now`: changes, and refused requests to repeat.
     pub(crate) fn take(&mut self, now: Moment, suspects: &Suspects) -> Vec<Suspicion> {
         let mut requests = self.take_changes(now);
         requests.extend(self.refresh(now, suspects));
-        told(now, &requests, suspects)
+        collect(now, &requests, suspects)
     }
 
-    /// Suspicions for a message of changes alone.
+    /// Suspicions for a message of changes only.
     pub(crate) fn take_news(&mut self, now: Moment, suspects: &Suspects) -> Vec<Suspicion> {
-        told(now, &self.take_changes(now), suspects)
+        collect(now, &self.take_changes(now), suspects)
     }
 
-    /// Requests whose changes are told at `now`.
+    /// Requests whose changes are sent at `now`.
     fn take_changes(&mut self, now: Moment) -> Vec<Fingerprint> {
         let mut requests = Vec::new();
         for queue in [&mut self.refused, &mut self.others] {
             for _ in 0..queue.len() {
-                if requests.len() >= self.room {
+                if requests.len() >= self.capacity {
                     break;
                 }
                 let Some(mut change) = queue.pop_front() else {
                     break;
                 };
-                if now.since(change.since) >= NEWS_TIME {
-                    self.untold += u64::from(!change.is_told);
+                if now.since(change.queued_at) >= CHANGE_LIFETIME {
+                    self.unsent += u64::from(!change.is_sent);
                     continue;
                 }
                 requests.push(change.request);
-                change.left -= 1;
-                change.is_told = true;
-                if change.left > 0 {
+                change.sends_left -= 1;
+                change.is_sent = true;
+                if change.sends_left > 0 {
                     queue.push_back(change);
                 }
             }
@@ -124,48 +125,50 @@
         requests
     }
 
-    /// The refused requests whose turn it is to be told again.
+    /// The refused requests to repeat next.
     fn refresh(&mut self, now: Moment, suspects: &Suspects) -> Vec<Fingerprint> {
         let mut refused: Vec<Fingerprint> = suspects.refused(now).collect();
         refused.sort_unstable();
-        let next = refused.partition_point(|r| self.refreshed.is_some_and(|last| *r <= last));
+        let next = refused.partition_point(|r| self.last_refreshed.is_some_and(|last| *r <= last));
         refused.rotate_left(next);
-        refused.truncate(REFRESHED);
-        self.refreshed = refused.last().copied().or(self.refreshed);
+        refused.truncate(REFRESH_COUNT);
+        self.last_refreshed = refused.last().copied().or(self.last_refreshed);
         refused
     }
 
-    /// Drops changes that are no news any more, at an instance that does not send these messages.
+    /// Drops expired changes, at an instance that does not send these messages.
     pub(crate) fn forget(&mut self, now: Moment) {
         for queue in [&mut self.refused, &mut self.others] {
-            queue.retain(|c| now.since(c.since) < NEWS_TIME);
+            queue.retain(|c| now.since(c.queued_at) < CHANGE_LIFETIME);
         }
     }
 
-    /// Changes that were never told, since the last call.
+    /// Changes dropped unsent since the last call.
     pub(crate) fn take_untold(&mut self) -> u64 {
-        std::mem::take(&mut self.untold)
+        std::mem::take(&mut self.unsent)
     }
 }
 
-fn told(now: Moment, requests: &[Fingerprint], suspects: &Suspects) -> Vec<Suspicion> {
-    let told = requests.iter();
-    told.filter_map(|r| suspects.suspicion(now, *r)).collect()
+fn collect(now: Moment, requests: &[Fingerprint], suspects: &Suspects) -> Vec<Suspicion> {
+    let requests = requests.iter();
+    requests
+        .filter_map(|r| suspects.suspicion(now, *r))
+        .collect()
 }
 
-/// What waits to be told, by kind of message.
+/// Queued changes by kind of message.
 #[derive(Debug)]
 pub(crate) struct SuspicionNews {
-    /// To the instances that get beats.
+    /// For the receivers of beats.
     pub(crate) beats: Outbox,
-    /// To other data centres, if this instance sends digests.
+    /// For other data centres, if this instance sends digests.
     pub(crate) digests: Outbox,
-    /// To all instances at once: requests that are refused from now on.
+    /// For all instances at once: requests that are refused from now on.
     pub(crate) alarms: Outbox,
 }
 
 impl SuspicionNews {
-    /// Lets those know of a change whom its source did not reach.
+    /// Queues a change for the peers that its source did not reach.
     pub(crate) fn push(
         &mut self,
         now: Moment,
@@ -179,13 +182,13 @@
                 self.alarms.push(now, request, true);
             }
         }
-        // A digest or an alarm came to the other data centres, too.
+        // Digests and alarms reach the other data centres, too.
         if matches!(source, Source::Own | Source::Beat) {
             self.digests.push(now, request, is_refused);
         }
     }
 
-    /// Tells those again from whom `source` came that a request is refused.
+    /// Queues a refused request again for the peers behind `source`.
     pub(crate) fn reply(&mut self, now: Moment, source: Source, request: Fingerprint) {
         let outbox = if source.is_digest() {
             &mut self.digests
@@ -199,9 +202,9 @@
 impl Default for SuspicionNews {
     fn default() -> Self {
         Self {
-            beats: Outbox::new(BEAT_ROOM, REPEATS),
-            digests: Outbox::new(DIGEST_ROOM, REPEATS),
-            alarms: Outbox::new(BEAT_ROOM, 1),
+            beats: Outbox::new(BEAT_CAPACITY, SENDS_PER_CHANGE),
+            digests: Outbox::new(DIGEST_CAPACITY, SENDS_PER_CHANGE),
+            alarms: Outbox::new(BEAT_CAPACITY, 1),
         }
     }
 }
