--- a/cornelstand/src/gateway/follow.rs
+++ b/cornelstand/src/gateway/follow.rs
@@ -1,9 +1,9 @@
-//! Follows the platform's store: the configuration, the endpoints, the data centres taken out and
+//! Follows the platform's store: the configuration, the endpoints, the evacuated data centres and
 //! the fleet's own instances.
 //!
-//! Each kind is listed once and then watched from the listing's revision. A watch that ends with
-//! nothing is begun again, so that one that went silent is found within its wait. What the store
-//! cannot tell comes from a peer that knows a newer configuration.
+//! Each kind is listed once and then watched from the listing's revision. A watch without changes
+//! ends and is started again, so that a dead connection is detected within one wait. While the
+//! store is unavailable, newer state is fetched from peers.
 
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
@@ -25,34 +25,34 @@
 };
 use crate::platform::store::{Change, StoreCallError, StoreClient};
 
-/// Time by which the wait of a watch stays below the one that the platform grants to notice a lost
-/// connection: a watch that went silent is given up when its wait and the store's slack are over.
+/// Margin of a watch's wait below the time that the platform allows to detect a lost connection: a
+/// silent watch is given up only after its wait and the store's slack.
 const WATCH_MARGIN: Duration = Duration::from_millis(800);
 /// Shortest wait of a watch.
-const WATCH_MIN: Duration = Duration::from_millis(500);
-/// Pause after a change of the endpoints, so that those that come close together take one call; far
+const WATCH_WAIT_MIN: Duration = Duration::from_millis(500);
+/// Delay after a change of the endpoints, which batches changes close together into one call; far
 /// below the time in which an endpoint that leaves has to be known.
-const CHANGES_PAUSE: Duration = Duration::from_millis(150);
-/// Time after the instances were listed until the first beats have told which one leads.
-const FIRST_BEATS: Duration = Duration::from_millis(700);
-/// Time between two listings of the instances by one that does not lead.
-const SPARSE_PERIOD: Duration = Duration::from_mins(1);
-/// Pause after a failed call, doubled each time.
-const PAUSE_FIRST: Duration = Duration::from_millis(60);
-/// Longest such pause: entries that lapsed are back about 2 s after the store's return.
-const PAUSE_MAX: Duration = Duration::from_millis(500);
-/// Longest pause after a failed call that concerns the fleet's own entries, which every instance makes.
-const INSTANCE_PAUSE_MAX: Duration = Duration::from_secs(4);
-/// Time between two listings of the instances. New ones also make themselves known by beats.
-const INSTANCE_PERIOD: Duration = Duration::from_secs(10);
-/// Pause between two looks at whether a peer knows more.
-const PEER_PERIOD: Duration = Duration::from_millis(100);
-/// Longest time for a peer to hand over its beliefs.
+const CHANGE_BATCH_DELAY: Duration = Duration::from_millis(150);
+/// Time after the first listing of instances until beats have established the leader.
+const LEADER_SETTLE_TIME: Duration = Duration::from_millis(700);
+/// Interval of listing the instances at one that does not lead.
+const FOLLOWER_LIST_PERIOD: Duration = Duration::from_mins(1);
+/// Delay after a failed call, doubled each time.
+const RETRY_DELAY_MIN: Duration = Duration::from_millis(60);
+/// Longest such delay: entries that lapsed are back about 2 s after the store's return.
+const RETRY_DELAY_MAX: Duration = Duration::from_millis(500);
+/// Longest delay after a failed call for the fleet's own entries, which every instance makes.
+const INSTANCE_RETRY_DELAY_MAX: Duration = Duration::from_secs(4);
+/// Interval of listing the instances at a leader. New ones also announce themselves by beats.
+const LEADER_LIST_PERIOD: Duration = Duration::from_secs(10);
+/// Interval of checking the peers for newer state.
+const PEER_CHECK_PERIOD: Duration = Duration::from_millis(100);
+/// Timeout for fetching the beliefs of a peer.
 const PEER_TIMEOUT: Duration = Duration::from_millis(800);
-/// Largest beliefs that are taken from a peer, in bytes.
-const BELIEFS_BYTES: usize = 16 * 1024 * 1024;
+/// Largest beliefs that are accepted from a peer.
+const MAX_BELIEFS_BYTES: usize = 16 * 1024 * 1024;
 
-/// What is followed.
+/// Followed kinds.
 #[derive(Clone, Copy, Debug, Display, Eq, PartialEq)]
 pub(crate) enum Followed {
     #[display("configuration")]
@@ -75,47 +75,47 @@
 
 /// Follows one kind until the process ends.
 pub(crate) async fn follow(gate: Rc<Gate>, followed: Followed) {
-    // The first beats tell which instance leads.
+    // The first beats determine the leader.
     while !gate.introduced.get() {
-        sleep(PEER_PERIOD).await;
+        sleep(PEER_CHECK_PERIOD).await;
     }
     let mut client = StoreClient::new(gate.settings.borrow().store);
-    let mut pause = PAUSE_FIRST;
+    let mut delay = RETRY_DELAY_MIN;
     let mut revision = None;
     let mut adoptions = 0;
     loop {
         if !gate.watches() {
-            // Others of this data centre watch, and this instance asks them.
+            // Others of this data centre watch, and this one fetches from them.
             revision = None;
-            sleep(PEER_PERIOD).await;
+            sleep(PEER_CHECK_PERIOD).await;
             continue;
         }
-        // What a peer handed over is newer than the revision of the last watch.
+        // Adopted beliefs are newer than the revision of the last watch.
         let adopted = gate.state.borrow().directory.adoptions();
         if std::mem::replace(&mut adoptions, adopted) != adopted {
             revision = None;
         }
-        let result = step(&gate, &mut client, followed, revision).await;
+        let result = poll_store(&gate, &mut client, followed, revision).await;
         note_call(&gate, followed, &result);
         match result {
             Ok((next, has_changed)) => {
                 revision = Some(next);
-                pause = PAUSE_FIRST;
+                delay = RETRY_DELAY_MIN;
                 if has_changed && followed == Followed::Endpoints {
-                    sleep(CHANGES_PAUSE).await;
+                    sleep(CHANGE_BATCH_DELAY).await;
                 }
             }
             Err(StoreCallError::HistoryGone) => revision = None,
             Err(_) => {
                 let spread = 0.5 + rand::random::<f64>();
-                sleep(pause.mul_f64(spread)).await;
-                pause = (pause * 2).min(PAUSE_MAX);
+                sleep(delay.mul_f64(spread)).await;
+                delay = (delay * 2).min(RETRY_DELAY_MAX);
             }
         }
     }
 }
 
-async fn step(
+async fn poll_store(
     gate: &Gate,
     client: &mut StoreClient,
     followed: Followed,
@@ -124,16 +124,16 @@
     let kind = followed.kind();
     let Some(revision) = revision else {
         let (objects, revision) = client.list(kind).await?;
-        regain(gate, followed);
-        take_listing(gate, followed, &objects, revision);
+        note_store_answer(gate, followed);
+        apply_listing(gate, followed, &objects, revision);
         return Ok((revision, false));
     };
     let contact = gate.settings.borrow().contact;
-    let wait = contact.saturating_sub(WATCH_MARGIN).max(WATCH_MIN);
+    let wait = contact.saturating_sub(WATCH_MARGIN).max(WATCH_WAIT_MIN);
     let (changes, revision) = client.watch(kind, revision, wait).await?;
-    regain(gate, followed);
+    note_store_answer(gate, followed);
     for change in &changes {
-        take_change(gate, followed, change, revision);
+        apply_change(gate, followed, change, revision);
     }
     Ok((revision, !changes.is_empty()))
 }
@@ -154,38 +154,38 @@
     }
 }
 
-fn regain(gate: &Gate, followed: Followed) {
+fn note_store_answer(gate: &Gate, followed: Followed) {
     let since = gate.store_since();
     if gate.state.borrow_mut().directory.regain_store(since) {
         tracing::info!(event = "store_regained", %followed);
     }
 }
 
-fn take_listing(gate: &Gate, followed: Followed, objects: &[StoreObject], revision: u64) {
+fn apply_listing(gate: &Gate, followed: Followed, objects: &[StoreObject], revision: u64) {
     match followed {
         Followed::Configuration => {
             for object in objects {
-                take_config(gate, object, revision);
+                apply_config(gate, object, revision);
             }
         }
         Followed::Endpoints => {
-            let records = objects.iter().filter_map(|o| record(gate, o));
+            let records = objects.iter().filter_map(|o| decode_endpoint(gate, o));
             let records = records.collect();
             let mut state = gate.state.borrow_mut();
             let changes = state.directory.list_endpoints(gate.now(), records);
             drop(state);
             gate.apply(changes);
-            note_endpoints(gate, revision);
+            announce_endpoints(gate, revision);
         }
         Followed::Evacuations => {
             let names = objects.iter().filter(|o| !o.metadata.deleting);
             let centres = names.map(|o| CentreName::from(o.metadata.name.as_str()));
-            take_evacuated(gate, centres.collect(), revision);
+            apply_evacuated(gate, centres.collect(), revision);
         }
     }
 }
 
-fn take_change(gate: &Gate, followed: Followed, change: &Change, revision: u64) {
+fn apply_change(gate: &Gate, followed: Followed, change: &Change, revision: u64) {
     let object = &change.object;
     match followed {
         Followed::Configuration if change.is_deleted => {
@@ -195,9 +195,9 @@
                 "the last one stays in force"
             );
         }
-        Followed::Configuration => take_config(gate, object, revision),
+        Followed::Configuration => apply_config(gate, object, revision),
         Followed::Endpoints => {
-            let record = record(gate, object).filter(|_| !change.is_deleted);
+            let record = decode_endpoint(gate, object).filter(|_| !change.is_deleted);
             let mut state = gate.state.borrow_mut();
             let directory = &mut state.directory;
             let change = if let Some(record) = record {
@@ -208,25 +208,25 @@
             };
             drop(state);
             gate.apply(change.into_iter().collect());
-            note_endpoints(gate, revision);
+            announce_endpoints(gate, revision);
         }
         Followed::Evacuations => {
             let centre = CentreName::from(object.metadata.name.as_str());
-            let out = !change.is_deleted && !object.metadata.deleting;
+            let is_out = !change.is_deleted && !object.metadata.deleting;
             let state = gate.state.borrow_mut();
             let mut centres = state.directory.evacuated().clone();
-            if out {
+            if is_out {
                 centres.insert(centre);
             } else {
                 centres.remove(&centre);
             }
             drop(state);
-            take_evacuated(gate, centres, revision);
+            apply_evacuated(gate, centres, revision);
         }
     }
 }
 
-fn take_evacuated(gate: &Gate, centres: BTreeSet<CentreName>, revision: u64) {
+fn apply_evacuated(gate: &Gate, centres: BTreeSet<CentreName>, revision: u64) {
     let mut state = gate.state.borrow_mut();
     if state.directory.set_evacuated(centres) {
         let centres = state.directory.evacuated();
@@ -239,16 +239,16 @@
     }
 }
 
-/// Lets the peers know if endpoints have changed.
-fn note_endpoints(gate: &Gate, revision: u64) {
+/// Notifies the peers if endpoints have changed.
+fn announce_endpoints(gate: &Gate, revision: u64) {
     if gate.state.borrow_mut().directory.mark_endpoints(revision) {
         gate.news.notify_one();
     }
 }
 
-fn take_config(gate: &Gate, object: &StoreObject, revision: u64) {
+fn apply_config(gate: &Gate, object: &StoreObject, revision: u64) {
     match read_config(&object.spec) {
-        Ok(catalog) => take_catalog(gate, catalog, "store", revision),
+        Ok(catalog) => apply_catalog(gate, catalog, "store", revision),
         Err(error) => {
             let name = &object.metadata.name;
             tracing::error!(event = "config_unreadable", name, revision, %error);
@@ -256,7 +256,7 @@
     }
 }
 
-fn take_catalog(gate: &Gate, catalog: Catalog, source: &str, revision: u64) {
+fn apply_catalog(gate: &Gate, catalog: Catalog, source: &str, revision: u64) {
     let version = catalog.version;
     let (routes, accounts) = (catalog.routes.len(), catalog.keys.len());
     if gate.state.borrow_mut().directory.set_catalog(catalog) {
@@ -274,8 +274,8 @@
     }
 }
 
-/// Decodes an entry. Entries of other writers are left out.
-fn record(gate: &Gate, object: &StoreObject) -> Option<EndpointRecord> {
+/// Decodes an entry. Entries of other writers are skipped.
+fn decode_endpoint(gate: &Gate, object: &StoreObject) -> Option<EndpointRecord> {
     let settings = gate.settings.borrow();
     match read_endpoint(object) {
         Ok(record) if settings.centres.contains(&record.centre) => Some(record),
@@ -291,12 +291,12 @@
     }
 }
 
-/// Keeps this instance's entry in the store and finds the others.
+/// Registers this instance in the store and lists the others.
 pub(crate) async fn follow_instances(gate: Rc<Gate>) {
     let mut client = StoreClient::new(gate.settings.borrow().store);
     let (mut is_registered, mut is_listed) = (false, false);
     let mut is_first = true;
-    let mut pause = PAUSE_FIRST;
+    let mut delay = RETRY_DELAY_MIN;
     loop {
         if !is_registered {
             let entry = instance_object(&gate.settings.borrow());
@@ -313,20 +313,20 @@
             Err(error) => tracing::info!(event = "instances_unread", %error),
         }
         if is_first && is_registered && gate.state.borrow().peers.is_large() {
-            sleep(FIRST_BEATS).await;
+            sleep(LEADER_SETTLE_TIME).await;
         }
         is_first = false;
         gate.introduced.set(true);
         if is_registered && is_listed {
             let period = if gate.leads() {
-                INSTANCE_PERIOD
+                LEADER_LIST_PERIOD
             } else {
-                SPARSE_PERIOD
+                FOLLOWER_LIST_PERIOD
             };
             sleep(period).await;
         } else {
-            sleep(pause.mul_f64(0.5 + rand::random::<f64>())).await;
-            pause = (pause * 2).min(INSTANCE_PAUSE_MAX);
+            sleep(delay.mul_f64(0.5 + rand::random::<f64>())).await;
+            delay = (delay * 2).min(INSTANCE_RETRY_DELAY_MAX);
         }
     }
 }
@@ -374,38 +374,38 @@
     }
 }
 
-/// Takes what peers know better: a newer configuration; endpoints and evacuations, unless this
-/// instance watches them itself; and from a seed everything, while it knows nothing.
+/// Fetches newer state from peers: the configuration; endpoints and evacuations, unless this
+/// instance watches them itself; and everything from a seed, while it has none.
 pub(crate) async fn follow_peers(gate: Rc<Gate>) {
     let mut seeds = gate.settings.borrow().seeds.clone().into_iter().cycle();
     let started = Instant::now();
     loop {
-        sleep(PEER_PERIOD).await;
-        let is_new = started.elapsed() < PEER_TIMEOUT;
-        let Some(source) = source(&gate) else {
+        sleep(PEER_CHECK_PERIOD).await;
+        let is_starting = started.elapsed() < PEER_TIMEOUT;
+        let Some(peer) = newer_peer(&gate) else {
             let is_empty = !gate.state.borrow().directory.is_complete();
-            if let Some(seed) = seeds.next().filter(|_| is_empty && !is_new) {
-                pull(&gate, seed).await;
+            if let Some(seed) = seeds.next().filter(|_| is_empty && !is_starting) {
+                sync_from(&gate, seed).await;
             }
             continue;
         };
-        pull(&gate, source).await;
+        sync_from(&gate, peer).await;
     }
 }
 
-/// Instance that knows better.
-fn source(gate: &Gate) -> Option<SocketAddr> {
-    let follows = follows_peers(gate);
+/// Peer with newer state.
+fn newer_peer(gate: &Gate) -> Option<SocketAddr> {
+    let may_adopt = follows_peers(gate);
     let state = gate.state.borrow();
     let centre = &gate.settings.borrow().centre;
     let now = gate.now();
-    let informed = state
+    let newer_beliefs = state
         .peers
         .better_informed(now, centre, state.directory.marks());
-    let ahead = state.peers.ahead(now, state.directory.catalog().version);
-    informed
-        .filter(|_| follows)
-        .or(ahead.map(|(_, address)| address))
+    let newer_config = state.peers.ahead(now, state.directory.catalog().version);
+    newer_beliefs
+        .filter(|_| may_adopt)
+        .or(newer_config.map(|(_, address)| address))
 }
 
 /// Whether endpoints and evacuations come from peers.
@@ -413,8 +413,8 @@
     !gate.watches() || !gate.state.borrow().directory.has_store()
 }
 
-async fn pull(gate: &Gate, address: SocketAddr) {
-    let fetched = tokio::time::timeout(PEER_TIMEOUT, fetch(address)).await;
+async fn sync_from(gate: &Gate, address: SocketAddr) {
+    let fetched = tokio::time::timeout(PEER_TIMEOUT, fetch_beliefs(address)).await;
     let mut beliefs = match fetched {
         Ok(Ok(beliefs)) => beliefs,
         Ok(Err(error)) => {
@@ -427,7 +427,7 @@
         }
     };
     let catalog = std::mem::take(&mut beliefs.catalog);
-    take_catalog(gate, catalog, "peer", 0);
+    apply_catalog(gate, catalog, "peer", 0);
     let mut state = gate.state.borrow_mut();
     let is_newer = beliefs.marks.are_newer(state.directory.marks());
     drop(state);
@@ -446,12 +446,12 @@
     gate.news.notify_one();
 }
 
-async fn fetch(address: SocketAddr) -> Result<Beliefs, String> {
+async fn fetch_beliefs(address: SocketAddr) -> Result<Beliefs, String> {
     let text = |e: &dyn std::fmt::Display| e.to_string();
     let connection = Upstream::connect(address, PEER_TIMEOUT).await;
     let mut connection = connection.map_err(|e| text(&e))?;
     let request = format!("GET /beliefs HTTP/1.1\r\nhost: {address}\r\n\r\n");
-    let limits = (BELIEFS_BYTES, BELIEFS_BYTES);
+    let limits = (MAX_BELIEFS_BYTES, MAX_BELIEFS_BYTES);
     let answer = connection.exchange("GET", request.as_bytes(), limits).await;
     let (_, body) = answer.map_err(|e| text(&e))?;
     serde_json::from_slice(&body).map_err(|e| text(&e))
