--- a/cornelstand/src/suspect.rs
+++ b/cornelstand/src/suspect.rs
@@ -1,14 +1,14 @@
 //! Requests that are suspected of crashing the endpoints that run them.
 //!
-//! A request is known by its fingerprint. Once an endpoint crashed while it ran the request, the
-//! request may run at one more endpoint, as a *trial*, one at a time over the fleet. If the trial
-//! loses its endpoint, too, the request is refused until it is forgiven; a whole answer of success
-//! clears it, because most requests that were running when an endpoint crashed did not cause it.
+//! A request is identified by its fingerprint. Once an endpoint crashed while it ran the request,
+//! the request may run at one more endpoint, as a *trial*, one at a time over the fleet. If that
+//! endpoint crashes, too, the request is refused until the suspicion expires; a complete successful
+//! answer clears it, because most requests that run when an endpoint crashes did not cause it.
 //!
-//! Instances exchange what they know as [`Suspicion`]s, whose merge gives the same result in any
-//! order. A trial is wanted, made known to the peers with their view taken in return, and then
-//! begins unless another one runs or an instance with a lower name wants one. Two instances that
-//! want a trial at the same time have each seen the other's wish by then.
+//! Instances exchange [`Suspicion`]s, whose merge gives the same result in any order. An instance
+//! announces the trial that it wants to its peers, merges their replies, and begins it unless
+//! another one runs or an instance with a lower name wants one. Two instances that want a trial at
+//! the same time have each seen the other's announcement by then.
 
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::time::Duration;
@@ -19,27 +19,27 @@
 use crate::moment::Moment;
 use crate::name::{BootId, EndpointName, Fingerprint, InstanceName};
 
-/// Endpoints that a request may take down before it is refused.
+/// Endpoint crashes after which a request is refused.
 pub const MAX_CRASHES: usize = 2;
 /// Time after the last crash for which a request is refused.
-const FORGIVEN: Duration = Duration::from_mins(10);
-/// Time after which a trial that was not ended does not count any more.
-const TRIAL: Duration = Duration::from_mins(2);
-/// Most suspicions that are kept. The oldest gives way.
+const REFUSAL_TIME: Duration = Duration::from_mins(10);
+/// Time after which a trial that has not ended no longer counts.
+const TRIAL_TIMEOUT: Duration = Duration::from_mins(2);
+/// Most suspicions that are kept. The oldest is evicted.
 const MAX_SUSPICIONS: usize = 4_096;
 /// Most crashes, and most trials, of one suspicion.
-const MAX_PARTS: usize = 64;
+const MAX_PER_SUSPICION: usize = 64;
 
-/// An endpoint that was lost.
+/// Crash of an endpoint.
 #[derive(Clone, Debug, Deserialize, Eq, Ord, PartialEq, PartialOrd, Serialize)]
 pub struct Crash {
     /// The endpoint.
     pub endpoint: EndpointName,
-    /// Its boot identity before, if known.
+    /// The boot that crashed, if known.
     pub boot: Option<BootId>,
 }
 
-/// How far a trial is.
+/// Phase of a trial.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, IsVariant, Ord, PartialEq, PartialOrd, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum TrialPhase {
@@ -54,20 +54,20 @@
 /// The latest trial of one instance.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, Ord, PartialEq, PartialOrd, Serialize)]
 pub struct Trial {
-    /// Counts the trials of the instance.
+    /// Number of the trial at the instance.
     pub number: u32,
-    /// How far it is.
+    /// Its phase.
     pub phase: TrialPhase,
 }
 
-/// What instances tell one another about one request.
+/// What instances exchange about one request.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Suspicion {
     /// The request.
     pub fingerprint: Fingerprint,
-    /// Counts how often the request was cleared. A higher round replaces a lower one.
+    /// Number of times the request was cleared. A higher round replaces a lower one.
     pub round: u32,
-    /// Endpoints lost in this round.
+    /// Crashes in this round.
     pub crashes: BTreeSet<Crash>,
     /// Latest trial of each instance in this round.
     pub trials: BTreeMap<InstanceName, Trial>,
@@ -77,12 +77,12 @@
     pub tried: Duration,
 }
 
-/// What is held against a request.
+/// Verdict on a request.
 #[derive(Clone, Copy, Debug, Eq, IsVariant, PartialEq)]
 pub enum Standing {
-    /// Nothing.
+    /// Not suspect.
     Clear,
-    /// An endpoint was lost to it; it may run as a trial.
+    /// An endpoint that ran it crashed; it may run as a trial.
     Suspect,
     /// It is refused for this time.
     Refused(Duration),
@@ -117,14 +117,14 @@
             return;
         }
         self.crashes.extend(other.crashes);
-        while self.crashes.len() > MAX_PARTS {
+        while self.crashes.len() > MAX_PER_SUSPICION {
             self.crashes.pop_last();
         }
-        for (entry, theirs) in other.trials {
-            let trial = self.trials.entry(entry).or_insert(theirs);
+        for (instance, theirs) in other.trials {
+            let trial = self.trials.entry(instance).or_insert(theirs);
             *trial = (*trial).max(theirs);
         }
-        while self.trials.len() > MAX_PARTS {
+        while self.trials.len() > MAX_PER_SUSPICION {
             self.trials.pop_last();
         }
         self.changed = self.changed.max(other.changed);
@@ -132,20 +132,20 @@
     }
 }
 
-/// All that one instance knows about suspect requests.
+/// Suspect requests that an instance knows.
 #[derive(Clone, Debug, Default)]
 pub struct Suspects {
     entries: HashMap<Fingerprint, Entry>,
 }
 
 impl Suspects {
-    /// What is held against `request` at `now`.
+    /// Verdict on `request` at `now`.
     #[must_use]
     pub fn check(&self, now: Moment, request: Fingerprint) -> Standing {
         let Some(entry) = self.entries.get(&request) else {
             return Standing::Clear;
         };
-        let left = entry.changed.after(FORGIVEN).since(now);
+        let left = entry.changed.after(REFUSAL_TIME).since(now);
         if left.is_zero() || entry.crashes.is_empty() {
             return Standing::Clear;
         }
@@ -155,7 +155,7 @@
         Standing::Refused(left)
     }
 
-    /// Number of endpoints lost to `request` in its present round.
+    /// Number of crashes held against `request` in its present round.
     #[must_use]
     pub fn crashes(&self, request: Fingerprint) -> usize {
         self.entries.get(&request).map_or(0, |e| e.crashes.len())
@@ -168,60 +168,60 @@
         entry.is_some_and(|e| e.changed < sent && e.crashes.contains(crash))
     }
 
-    /// Requests that are refused at `now`, in no order.
+    /// Requests that are refused at `now`, in any order.
     pub fn refused(&self, now: Moment) -> impl Iterator<Item = Fingerprint> {
         let requests = self.entries.keys().copied();
         requests.filter(move |r| self.check(now, *r).is_refused())
     }
 
-    /// Tells whether the trial that `instance` wants may begin.
+    /// Whether the trial that `instance` wants may begin.
     #[must_use]
     pub fn may_begin(&self, now: Moment, request: Fingerprint, instance: &InstanceName) -> bool {
         let Some(entry) = self.entries.get(&request) else {
             return true;
         };
-        let is_current = now.since(entry.tried) < TRIAL;
+        let is_recent = now.since(entry.tried) < TRIAL_TIMEOUT;
         let blocks = |(other, trial): (&InstanceName, &Trial)| match trial.phase {
             TrialPhase::Wanted => other < instance,
             TrialPhase::Running => true,
             TrialPhase::Ended => false,
         };
-        !(is_current && entry.trials.iter().any(blocks))
+        !(is_recent && entry.trials.iter().any(blocks))
     }
 
-    /// What to tell other instances about `request`.
+    /// Suspicion of `request` for other instances.
     #[must_use]
     pub fn suspicion(&self, now: Moment, request: Fingerprint) -> Option<Suspicion> {
         let entry = self.entries.get(&request)?;
-        Some(wire(now, request, entry))
+        Some(to_suspicion(now, request, entry))
     }
 
-    /// What to tell other instances about all requests, the latest `most` of them.
+    /// Suspicions of the latest `most` requests, for other instances.
     #[must_use]
     pub fn suspicions(&self, now: Moment, most: usize) -> Vec<Suspicion> {
         let mut all: Vec<Suspicion> = self
             .entries
             .iter()
-            .map(|(request, entry)| wire(now, *request, entry))
+            .map(|(request, entry)| to_suspicion(now, *request, entry))
             .collect();
         all.sort_by_key(|s| (s.age, s.fingerprint));
         all.truncate(most);
         all
     }
 
-    /// Number of requests with something against them, cleared ones included.
+    /// Number of suspect requests, cleared ones included.
     #[must_use]
     pub fn len(&self) -> usize {
         self.entries.len()
     }
 
-    /// Tells whether there is no such request.
+    /// Whether there is no such request.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         self.entries.is_empty()
     }
 
-    /// Notes that an endpoint crashed while it ran `request`.
+    /// Records that an endpoint crashed while it ran `request`.
     pub fn note(&mut self, now: Moment, request: Fingerprint, crash: Crash) {
         self.forgive(now);
         let entry = self.entry(now, request);
@@ -229,15 +229,15 @@
         entry.changed = now;
     }
 
-    /// Takes in a whole answer to `request`. A success clears it; an endpoint may fail a request
-    /// without beginning to run it.
+    /// Records a complete answer to `request`. Only a success clears it, because an endpoint may
+    /// fail a request without beginning to run it.
     pub fn answer(&mut self, now: Moment, request: Fingerprint, status: u16) {
         if (200..300).contains(&status) {
             self.clear(now, request);
         }
     }
 
-    /// Clears `request`, which was answered whole.
+    /// Clears `request` after a complete answer.
     pub fn clear(&mut self, now: Moment, request: Fingerprint) {
         if let Some(entry) = self.entries.get_mut(&request)
             && !entry.crashes.is_empty()
@@ -248,12 +248,12 @@
         }
     }
 
-    /// Notes that `instance` wants a trial, unless it has one already.
+    /// Records that `instance` wants a trial, unless it has one already.
     pub fn want(&mut self, now: Moment, request: Fingerprint, instance: &InstanceName) -> bool {
         let entry = self.entry(now, request);
-        let is_current = now.since(entry.tried) < TRIAL;
+        let is_recent = now.since(entry.tried) < TRIAL_TIMEOUT;
         let last = entry.trials.get(instance);
-        if is_current && last.is_some_and(|t| !t.phase.is_ended()) {
+        if is_recent && last.is_some_and(|t| !t.phase.is_ended()) {
             return false;
         }
         let trial = Trial {
@@ -265,7 +265,7 @@
         true
     }
 
-    /// Notes how far the trial of `instance` is.
+    /// Advances the trial of `instance` to `phase`.
     pub fn set_phase(
         &mut self,
         now: Moment,
@@ -281,22 +281,22 @@
         }
     }
 
-    /// Takes in what another instance tells.
-    pub fn merge(&mut self, now: Moment, told: Suspicion) {
+    /// Merges a suspicion of another instance.
+    pub fn merge(&mut self, now: Moment, received: Suspicion) {
         let ago = |age: Duration| Moment(now.0.saturating_sub(crate::moment::micros(age)));
         let theirs = Entry {
-            round: told.round,
-            crashes: told.crashes,
-            trials: told.trials,
-            changed: ago(told.age),
-            tried: ago(told.tried),
+            round: received.round,
+            crashes: received.crashes,
+            trials: received.trials,
+            changed: ago(received.age),
+            tried: ago(received.tried),
         };
-        if now.since(theirs.changed) >= FORGIVEN {
+        if now.since(theirs.changed) >= REFUSAL_TIME {
             return;
         }
-        let request = told.fingerprint;
+        let request = received.fingerprint;
         if !self.entries.contains_key(&request) {
-            self.make_room();
+            self.evict_if_full();
         }
         let entry = self.entries.entry(request);
         entry
@@ -304,21 +304,22 @@
             .merge(theirs);
     }
 
-    /// Forgets requests that are forgiven.
+    /// Removes expired suspicions.
     pub fn forgive(&mut self, now: Moment) {
-        self.entries.retain(|_, e| now.since(e.changed) < FORGIVEN);
+        self.entries
+            .retain(|_, e| now.since(e.changed) < REFUSAL_TIME);
     }
 
     fn entry(&mut self, now: Moment, request: Fingerprint) -> &mut Entry {
         if !self.entries.contains_key(&request) {
-            self.make_room();
+            self.evict_if_full();
         }
         self.entries
             .entry(request)
             .or_insert_with(|| Entry::new(now))
     }
 
-    fn make_room(&mut self) {
+    fn evict_if_full(&mut self) {
         if self.entries.len() < MAX_SUSPICIONS {
             return;
         }
@@ -329,7 +330,7 @@
     }
 }
 
-fn wire(now: Moment, fingerprint: Fingerprint, entry: &Entry) -> Suspicion {
+fn to_suspicion(now: Moment, fingerprint: Fingerprint, entry: &Entry) -> Suspicion {
     Suspicion {
         fingerprint,
         round: entry.round,
