--- a/cornelstand/src/gateway/tests.rs
+++ b/cornelstand/src/gateway/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of the gateway, with what they share.
+//! Tests of the gateway, with shared fixtures.
 
 mod admission;
 mod budget;
@@ -27,7 +27,7 @@
 
 /// Service with engines.
 pub(crate) const MODELS: &str = "models";
-/// Plain service.
+/// Service without engines.
 pub(crate) const ORDERS: &str = "orders";
 
 pub(crate) fn settings(instance: &str) -> GatewaySettings {
@@ -143,7 +143,7 @@
     }
 }
 
-/// An instance that knows `records` and the configuration.
+/// An instance with `records` and the configuration.
 pub(crate) fn gate(instance: &str, records: Vec<EndpointRecord>) -> Rc<Gate> {
     let metrics = GatewayMetrics::new().expect("metrics are defined once");
     let gate = Gate::new(settings(instance), metrics, 1);
