--- a/cornelstand/src/gateway/tests/containment.rs
+++ b/cornelstand/src/gateway/tests/containment.rs
@@ -1,5 +1,5 @@
-//! Requests that crash endpoints, in whole fleets: instances tell one another by their own messages,
-//! in simulated time, and every send of the request ends an endpoint.
+//! Requests that crash endpoints, in simulated fleets: instances exchange real messages in
+//! simulated time, and every send of the request crashes an endpoint.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -24,28 +24,28 @@
 
 /// Step of the simulated time.
 const STEP: Duration = Duration::from_millis(10);
-/// Time that a datagram takes, in steps.
-const FLIGHT: u64 = 1;
-/// Bound within which instances that are in touch know what others do, as the platform states it.
-const CONTACT: Duration = Duration::from_secs(4);
-/// Endpoints that may end before a request is refused everywhere, as the platform counts.
-const MAX_ENDED: usize = 3;
-/// Further sends that the platform allows later than [`CONTACT`] after that.
-const MAX_LATE: usize = 3;
-/// The request that ends every endpoint that runs it.
+/// Delivery time of a datagram, in steps.
+const DELIVERY_STEPS: u64 = 1;
+/// Time within which connected instances know what others do, as the platform states it.
+const CONTACT_TIME: Duration = Duration::from_secs(4);
+/// Endpoints that may crash before a request is refused everywhere, as the platform counts.
+const MAX_CRASHED: usize = 3;
+/// Further sends that the platform allows later than [`CONTACT_TIME`] after that.
+const MAX_LATE_SENDS: usize = 3;
+/// The request that crashes every endpoint that runs it.
 const FATAL: Fingerprint = Fingerprint(1 << 40);
-/// Requests that ran at an endpoint when it ended: as many as an engine has slots.
+/// Requests that ran at an endpoint when it crashed: as many as an engine has slots.
 const INNOCENTS: u64 = 64;
 
-/// Who runs, and what harms their messages.
+/// Size and message faults of a fleet.
 #[derive(Clone, Copy, Debug)]
 struct Plan {
     centres: usize,
     count: usize,
     seed: u64,
-    /// Requests that run beside at each endpoint that ends.
+    /// Innocent requests at each endpoint that crashes.
     innocents: u64,
-    /// Part of the datagrams that are lost.
+    /// Share of datagrams that are lost.
     loss: f64,
 }
 
@@ -63,7 +63,7 @@
 
 struct Datagram {
     from: SocketAddr,
-    /// Index of the member that gets it.
+    /// Index of the receiving member.
     to: usize,
     bytes: Rc<[u8]>,
 }
@@ -80,16 +80,16 @@
     plan: Plan,
     members: Vec<Member>,
     /// Datagrams by the step in which they arrive.
-    flying: BTreeMap<u64, Vec<Datagram>>,
+    in_flight: BTreeMap<u64, Vec<Datagram>>,
     indices: BTreeMap<SocketAddr, usize>,
     step: u64,
     rng: ChaCha8Rng,
-    /// When each endpoint ended.
-    ended: Vec<Duration>,
-    /// Instances that no datagram leaves or reaches.
-    silent: Vec<usize>,
+    /// When each endpoint crashed.
+    crashed: Vec<Duration>,
+    /// Instances cut off from all datagrams.
+    isolated: Vec<usize>,
     /// Innocent requests that wait to be served again, with the instances that lost them.
-    lost: Vec<(usize, Fingerprint)>,
+    interrupted: Vec<(usize, Fingerprint)>,
 }
 
 fn steps(time: Duration) -> u64 {
@@ -104,19 +104,19 @@
             indices: indices.collect(),
             plan,
             members,
-            flying: BTreeMap::new(),
+            in_flight: BTreeMap::new(),
             step: 0,
             rng: ChaCha8Rng::seed_from_u64(plan.seed),
-            ended: Vec::new(),
-            silent: Vec::new(),
-            lost: Vec::new(),
+            crashed: Vec::new(),
+            isolated: Vec::new(),
+            interrupted: Vec::new(),
         };
-        (0..plan.count).for_each(|i| fleet.introduce(i));
+        (0..plan.count).for_each(|i| fleet.list_peers(i));
         fleet
     }
 
-    /// Tells an instance of all others, as the store does.
-    fn introduce(&mut self, index: usize) {
+    /// Lists all others at an instance, as the store does.
+    fn list_peers(&mut self, index: usize) {
         let mut state = self.members[index].gate.state.borrow_mut();
         for (_, other) in self.members.iter().enumerate().filter(|(i, _)| *i != index) {
             let settings = other.gate.settings.borrow();
@@ -127,10 +127,10 @@
         }
     }
 
-    /// Replaces an instance by one that knows nothing.
+    /// Replaces an instance by one without state.
     fn restart(&mut self, index: usize) {
         self.members[index] = member(self.plan, index, 2 + self.step);
-        self.introduce(index);
+        self.list_peers(index);
     }
 
     fn send(&mut self, from: usize, packet: &Packet) {
@@ -140,10 +140,13 @@
                 continue;
             }
             let to = self.indices[address];
-            if self.silent.contains(&from) || self.silent.contains(&to) {
+            if self.isolated.contains(&from) || self.isolated.contains(&to) {
                 continue;
             }
-            let due = self.flying.entry(self.step + FLIGHT).or_default();
+            let due = self
+                .in_flight
+                .entry(self.step + DELIVERY_STEPS)
+                .or_default();
             due.push(Datagram {
                 from: self.members[from].address,
                 to,
@@ -152,11 +155,11 @@
         }
     }
 
-    /// Lets one step pass.
-    async fn pass(&mut self) {
+    /// Runs one step.
+    async fn run_step(&mut self) {
         advance(STEP).await;
         self.step += 1;
-        for Datagram { from, to, bytes } in self.flying.remove(&self.step).unwrap_or_default() {
+        for Datagram { from, to, bytes } in self.in_flight.remove(&self.step).unwrap_or_default() {
             let addresses = take(&self.members[to].gate, from, &bytes);
             let packet = Packet {
                 bytes: bytes.to_vec(),
@@ -184,7 +187,7 @@
 
     async fn wait(&mut self, time: Duration) {
         for _ in 0..steps(time) {
-            self.pass().await;
+            self.run_step().await;
         }
     }
 
@@ -192,26 +195,26 @@
         STEP * u32::try_from(self.step).expect("short")
     }
 
-    /// Sends the fatal request through an instance. Its endpoint ends with all that runs there.
+    /// Sends the fatal request through an instance. Its endpoint crashes with all that runs there.
     fn attack(&mut self, index: usize) {
         if self.members[index].gate.refused_for(FATAL).is_some() {
             return;
         }
-        let number = u64::try_from(self.ended.len()).expect("few");
-        self.ended.push(self.time());
+        let number = u64::try_from(self.crashed.len()).expect("few");
+        self.crashed.push(self.time());
         let crash = crash(&format!("e-{number}"));
         for innocent in 0..self.plan.innocents {
             let at = self.rng.random_range(0..self.members.len());
             let request = Fingerprint(number * INNOCENTS + innocent);
             self.members[at].gate.note_crash(request, crash.clone());
-            self.lost.push((at, request));
+            self.interrupted.push((at, request));
         }
         self.members[index].gate.note_crash(FATAL, crash);
     }
 
-    /// Serves what ran at the endpoint that ended last, each request at the instance that lost it.
+    /// Serves what ran at the last crashed endpoint, each request at the instance that lost it.
     fn serve_innocents(&mut self) {
-        for (at, request) in std::mem::take(&mut self.lost) {
+        for (at, request) in std::mem::take(&mut self.interrupted) {
             let gate = &self.members[at].gate;
             assert!(
                 gate.refused_for(request).is_none(),
@@ -221,17 +224,17 @@
         }
     }
 
-    /// Instances that would send a request.
-    fn willing(&self, request: Fingerprint) -> usize {
-        let willing = |m: &&Member| m.gate.refused_for(request).is_none();
-        self.members.iter().filter(willing).count()
+    /// Number of instances that would send a request.
+    fn count_willing(&self, request: Fingerprint) -> usize {
+        let is_willing = |m: &&Member| m.gate.refused_for(request).is_none();
+        self.members.iter().filter(is_willing).count()
     }
 
-    /// Sends of the fatal request later than [`CONTACT`] after it ended its third endpoint.
-    fn late(&self) -> usize {
-        let third = self.ended.get(MAX_ENDED - 1);
+    /// Sends of the fatal request later than [`CONTACT_TIME`] after the third crash.
+    fn late_sends(&self) -> usize {
+        let third = self.crashed.get(MAX_CRASHED - 1);
         third.map_or(0, |t| {
-            let late = self.ended.iter().filter(|e| **e > *t + CONTACT);
+            let late = self.crashed.iter().filter(|e| **e > *t + CONTACT_TIME);
             late.count()
         })
     }
@@ -255,8 +258,8 @@
     }
 }
 
-/// The request comes again every 400 ms, each time at another instance. What ran beside it is
-/// served meanwhile.
+/// Sends the fatal request every 400 ms, each time through a random instance. The requests that
+/// ran beside it are served meanwhile.
 async fn attack_in_series(fleet: &mut Fleet, count: usize) {
     for _ in 0..count {
         let at = fleet.rng.random_range(0..fleet.members.len());
@@ -269,10 +272,10 @@
 
 fn assert_contained(fleet: &Fleet) {
     let plan = fleet.plan;
-    let (ended, late) = (fleet.ended.len(), fleet.late());
+    let (ended, late) = (fleet.crashed.len(), fleet.late_sends());
     assert!(
-        ended <= MAX_ENDED && late <= MAX_LATE,
-        "{plan:?}: {ended} endpoints ended, {late} sends came later than {CONTACT:?}"
+        ended <= MAX_CRASHED && late <= MAX_LATE_SENDS,
+        "{plan:?}: {ended} endpoints ended, {late} sends came later than {CONTACT_TIME:?}"
     );
 }
 
@@ -282,7 +285,7 @@
     attack_in_series(&mut fleet, 30).await;
     assert_contained(&fleet);
     assert_eq!(
-        fleet.willing(FATAL),
+        fleet.count_willing(FATAL),
         0,
         "instances that would still send it"
     );
@@ -307,15 +310,15 @@
         news.beats
             .push(Moment(0), Fingerprint(number), number == count - 1);
     }
-    let mut told = vec![0; usize::try_from(count).expect("few")];
+    let mut sends = vec![0; usize::try_from(count).expect("few")];
     for message in 0..20 {
         let suspicions = news.beats.take(Moment(message), &suspects);
         assert!(message > 0 || suspicions[0].fingerprint == Fingerprint(count - 1));
         for suspicion in suspicions {
-            told[usize::try_from(suspicion.fingerprint.0).expect("few")] += 1;
+            sends[usize::try_from(suspicion.fingerprint.0).expect("few")] += 1;
         }
     }
-    assert!(told.iter().all(|times| *times == 3), "{told:?}");
+    assert!(sends.iter().all(|times| *times == 3), "{sends:?}");
     assert_eq!(news.beats.take_untold(), 0);
 }
 
@@ -337,8 +340,8 @@
     assert_a_series_is_contained(plan).await;
 }
 
-/// Ends endpoints until the request is refused, and lets more time pass than news is told for.
-async fn contained(plan: Plan) -> Fleet {
+/// Crashes endpoints until the request is refused, and waits until its changes have expired.
+async fn contain(plan: Plan) -> Fleet {
     let mut fleet = Fleet::start(plan);
     fleet.wait(Duration::from_secs(1)).await;
     attack_in_series(&mut fleet, 4).await;
@@ -352,16 +355,16 @@
 #[case::hundreds(Plan::new(3, 195))]
 #[tokio::test(start_paused = true)]
 async fn an_instance_that_starts_later_learns_which_requests_are_refused(#[case] plan: Plan) {
-    let mut fleet = contained(plan).await;
-    let ended = fleet.ended.len();
+    let mut fleet = contain(plan).await;
+    let ended = fleet.crashed.len();
     for _ in 0..4 {
         let at = fleet.rng.random_range(0..plan.count);
         fleet.restart(at);
-        fleet.wait(CONTACT).await;
+        fleet.wait(CONTACT_TIME).await;
         fleet.attack(at);
     }
     assert_eq!(
-        fleet.ended.len(),
+        fleet.crashed.len(),
         ended,
         "endpoints that ended after restarts"
     );
@@ -374,18 +377,18 @@
 async fn a_data_centre_that_starts_again_learns_from_the_others_which_requests_are_refused(
     #[case] plan: Plan,
 ) {
-    let mut fleet = contained(plan).await;
-    let ended = fleet.ended.len();
+    let mut fleet = contain(plan).await;
+    let ended = fleet.crashed.len();
     let centre: Vec<usize> = (0..plan.count).filter(|i| i % plan.centres == 0).collect();
     for at in &centre {
         fleet.restart(*at);
     }
-    fleet.wait(CONTACT).await;
+    fleet.wait(CONTACT_TIME).await;
     for at in centre {
         fleet.attack(at);
     }
     assert_eq!(
-        fleet.ended.len(),
+        fleet.crashed.len(),
         ended,
         "endpoints that ended after the restart"
     );
@@ -394,16 +397,20 @@
 #[tokio::test(start_paused = true)]
 async fn when_all_instances_start_again_at_once_the_request_is_contained_once_more() {
     let plan = Plan::new(5, 59);
-    let mut fleet = contained(plan).await;
+    let mut fleet = contain(plan).await;
     for at in 0..plan.count {
         fleet.restart(at);
     }
-    fleet.wait(CONTACT).await;
+    fleet.wait(CONTACT_TIME).await;
     attack_in_series(&mut fleet, 12).await;
-    // What all have forgotten costs as many endpoints as the first time.
-    assert!(fleet.late() <= MAX_LATE, "{} sends came late", fleet.late());
+    // With all state lost, it costs as many endpoints as the first time.
+    assert!(
+        fleet.late_sends() <= MAX_LATE_SENDS,
+        "{} sends came late",
+        fleet.late_sends()
+    );
     assert_eq!(
-        fleet.willing(FATAL),
+        fleet.count_willing(FATAL),
         0,
         "instances that would still send it"
     );
@@ -417,13 +424,13 @@
     #[case] plan: Plan,
 ) {
     let mut fleet = Fleet::start(plan);
-    fleet.silent = vec![0, plan.centres];
+    fleet.isolated = vec![0, plan.centres];
     fleet.wait(Duration::from_secs(3)).await;
     for _ in 0..2 {
         fleet.attack(1);
     }
-    fleet.wait(CONTACT).await;
-    let unaware = (0..plan.count).filter(|i| !fleet.silent.contains(i));
+    fleet.wait(CONTACT_TIME).await;
+    let unaware = (0..plan.count).filter(|i| !fleet.isolated.contains(i));
     let unaware = unaware.filter(|i| fleet.members[*i].gate.refused_for(FATAL).is_none());
     assert_eq!(unaware.count(), 0, "instances that would still send it");
 }
@@ -438,7 +445,7 @@
 ) {
     let mut fleet = Fleet::start(plan);
     fleet.wait(Duration::from_secs(1)).await;
-    // An attempt that went on elsewhere after its first crash.
+    // An attempt that was repeated after its first crash.
     fleet.attack(0);
     fleet.attack(0);
     for _ in 0..20 {
