--- a/cornelstand/src/gateway/tests/message.rs
+++ b/cornelstand/src/gateway/tests/message.rs
@@ -1,4 +1,4 @@
-//! Heads and bodies, and what is refused because two parsers could read it differently.
+//! Parsing of heads and bodies, and rejection of ambiguous framing.
 
 use bytes::BytesMut;
 use rstest::rstest;
