--- a/cornelstand/src/gateway/tests/peers.rs
+++ b/cornelstand/src/gateway/tests/peers.rs
@@ -1,4 +1,4 @@
-//! Beats of peers: their order, their silence and what they add up to.
+//! Beats of peers: their order, their absence and their sums.
 
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
@@ -98,9 +98,9 @@
 fn a_restarted_peer_begins_anew() {
     let mut peers = Peers::default();
     peers.hear(at(0), address(), beat("p", 900, 7));
-    let mut again = beat("p", 1, 0);
-    again.incarnation = 2;
-    peers.hear(at(1), address(), again);
+    let mut restarted = beat("p", 1, 0);
+    restarted.incarnation = 2;
+    peers.hear(at(1), address(), restarted);
     assert_eq!(peers.loads(at(1), &north())[&5].running, 0);
 }
 
@@ -226,19 +226,19 @@
 #[test]
 fn the_store_was_there_as_long_as_for_the_peer_that_had_it_longest() {
     let mut peers = fleet(3);
-    let mut cut = beat("north-7", 1, 1);
-    cut.store_time = None;
-    peers.hear(at(0), address(), cut);
-    let south = CentreName::from("elsewhere");
+    let mut disconnected = beat("north-7", 1, 1);
+    disconnected.store_time = None;
+    peers.hear(at(0), address(), disconnected);
+    let elsewhere = CentreName::from("elsewhere");
     assert_eq!(
         peers.store_time(at(0), &north()),
         Some(Duration::from_secs(9))
     );
-    assert_eq!(peers.store_time(at(0), &south), None);
+    assert_eq!(peers.store_time(at(0), &elsewhere), None);
 }
 
-/// large/tessel-counter-large: when the two watching instances lost the store, all others of the data
-/// centre began to ask it and to lead, up to 14,803 calls on a day.
+/// Guards against all instances of a data centre calling the store and leading once the two that
+/// watched it had lost it: up to 14,803 calls on a day.
 #[test]
 fn while_the_store_is_away_two_instances_at_a_time_ask_it() {
     let names: Vec<String> = (0..30).map(|i| format!("north-{i}")).collect();
