--- a/cornelstand/tests/gateway/crashes.rs
+++ b/cornelstand/tests/gateway/crashes.rs
@@ -18,22 +18,22 @@
 
 /// Instances of a fleet that is large enough for digests.
 const INSTANCES: u8 = 15;
-/// Bound within which instances that are in touch know what others do, as the platform states it.
-const CONTACT: Duration = Duration::from_secs(3);
+/// Time within which connected instances know what others do, as the platform states it.
+const CONTACT_TIME: Duration = Duration::from_secs(3);
 /// Time within which the leaders have listed instances that registered after they did.
-const LISTING: Duration = Duration::from_secs(11);
-/// Endpoints that may end before the request is refused everywhere.
-const MAX_ENDED: usize = 3;
-/// Requests that run beside it at any time.
-const BESIDE: usize = 24;
+const LISTING_TIME: Duration = Duration::from_secs(11);
+/// Endpoints that may crash before the request is refused everywhere.
+const MAX_CRASHED: usize = 3;
+/// Innocent requests that run at any time.
+const INNOCENT_STREAMS: usize = 24;
 
 fn instances() -> u8 {
     let count = std::env::var("CORNELSTAND_FLEET").ok();
     count.and_then(|c| c.parse().ok()).unwrap_or(INSTANCES)
 }
 
-/// Keeps an innocent stream running until the test is over, each time with another body.
-async fn stream(world: Arc<RwLock<World>>, is_over: Arc<AtomicBool>, caller: usize) -> usize {
+/// Runs innocent streams one by one until the test is over, each with another body.
+async fn run_streams(world: Arc<RwLock<World>>, is_over: Arc<AtomicBool>, caller: usize) -> usize {
     let mut rng = ChaCha8Rng::seed_from_u64(u64::try_from(caller).expect("few"));
     let mut served = 0;
     for number in 0.. {
@@ -48,8 +48,8 @@
     served
 }
 
-/// Renews the entries of endpoints that have started again, as they do themselves.
-async fn renew(world: Arc<RwLock<World>>, is_over: Arc<AtomicBool>) {
+/// Renews the entries of restarted endpoints, as they do themselves.
+async fn renew_entries(world: Arc<RwLock<World>>, is_over: Arc<AtomicBool>) {
     let mut listed = 0;
     while !is_over.load(Ordering::Relaxed) {
         sleep(Duration::from_millis(200)).await;
@@ -66,7 +66,7 @@
 
 async fn attack(world: &RwLock<World>, at: usize, number: usize) {
     let id = format!("f-{number}");
-    // Whatever comes back, the endpoints tell what ran.
+    // The answer is ignored: the endpoints record what ran.
     let _ = world
         .read()
         .await
@@ -84,12 +84,13 @@
             .await_peers(i, (count / CENTRES.len()).saturating_sub(1))
             .await;
     }
-    sleep(LISTING).await;
+    sleep(LISTING_TIME).await;
     let world = Arc::new(RwLock::new(world));
     let is_over = Arc::new(AtomicBool::new(false));
-    let renewing = tokio::spawn(renew(world.clone(), is_over.clone()));
-    let beside = (0..BESIDE).map(|i| tokio::spawn(stream(world.clone(), is_over.clone(), i)));
-    let beside: Vec<_> = beside.collect();
+    let renewal = tokio::spawn(renew_entries(world.clone(), is_over.clone()));
+    let innocents =
+        (0..INNOCENT_STREAMS).map(|i| tokio::spawn(run_streams(world.clone(), is_over.clone(), i)));
+    let innocents: Vec<_> = innocents.collect();
 
     let mut rng = ChaCha8Rng::seed_from_u64(1);
     let mut number = 0;
@@ -103,29 +104,29 @@
     let at_once = (0..count).map(|at| attack(&world, at, number + at));
     futures::future::join_all(at_once).await;
     number += count;
-    // One instance is killed and starts again, another one stands still for a while.
+    // One instance is killed and restarted, another one is paused for a while.
     world.write().await.instances[0].kill();
     world.write().await.instances[0].start();
     world.read().await.instances[1].signal(Signal::STOP);
     sleep(Duration::from_secs(1)).await;
     world.read().await.instances[1].signal(Signal::CONT);
     world.read().await.await_ready(0, true).await;
-    sleep(CONTACT).await;
+    sleep(CONTACT_TIME).await;
     for at in [0, 1] {
         attack(&world, at, number).await;
         number += 1;
     }
 
     is_over.store(true, Ordering::Relaxed);
-    renewing.await.expect("entries are renewed");
+    renewal.await.expect("entries are renewed");
     let mut served = 0;
-    for caller in beside {
+    for caller in innocents {
         served += caller.await.expect("a caller");
     }
     let ended = world.read().await.ends().len();
-    assert!(ended > 0 && ended <= MAX_ENDED, "{ended} endpoints ended");
+    assert!(ended > 0 && ended <= MAX_CRASHED, "{ended} endpoints ended");
     assert!(
-        served > BESIDE * 4,
+        served > INNOCENT_STREAMS * 4,
         "{served} requests beside it were served"
     );
 }
