--- a/cornelstand/src/gateway/containment.rs
+++ b/cornelstand/src/gateway/containment.rs
@@ -125,7 +125,7 @@
 
 impl State {
     /// Merges the suspicions of a peer.
-    pub(crate) fn hear_suspicions(
+    pub(crate) fn merge_suspicions(
         &mut self,
         metrics: &GatewayMetrics,
         now: Moment,
--- a/cornelstand/src/gateway/gate.rs
+++ b/cornelstand/src/gateway/gate.rs
@@ -427,12 +427,12 @@
     }
 
     /// Applies a digest of another data centre. Returns whether it is new.
-    pub(crate) fn hear_centre(&self, digest: Digest) -> bool {
+    pub(crate) fn receive_digest(&self, digest: Digest) -> bool {
         let now = self.now();
         self.metrics.beats.inc();
         let mut state = self.state.borrow_mut();
-        self.hear_news(&mut state, now, Source::Digest, &digest.news);
-        state.peers.hear_centre(now, digest)
+        self.apply_news(&mut state, now, Source::Digest, &digest.news);
+        state.peers.record_digest(now, digest)
     }
 
     /// Builds the digest of this data centre.
@@ -446,7 +446,7 @@
     }
 
     /// Takes the suspicions due to all peers at once.
-    pub(crate) fn alarms(&self) -> Vec<Suspicion> {
+    pub(crate) fn take_alarms(&self) -> Vec<Suspicion> {
         let now = self.now();
         let mut state = self.state.borrow_mut();
         let state = &mut *state;
@@ -457,10 +457,10 @@
     }
 
     /// Applies an alarm of a peer.
-    pub(crate) fn hear_alarm(&self, suspicions: &[Suspicion]) {
+    pub(crate) fn receive_alarm(&self, suspicions: &[Suspicion]) {
         let now = self.now();
         let mut state = self.state.borrow_mut();
-        state.hear_suspicions(&self.metrics, now, Source::Alarm, suspicions);
+        state.merge_suspicions(&self.metrics, now, Source::Alarm, suspicions);
     }
 
     /// Applies a beat of a peer.
@@ -469,22 +469,22 @@
         self.metrics.beats.inc();
         let mut state = self.state.borrow_mut();
         let state = &mut *state;
-        self.hear_news(state, now, Source::Beat, &beat.news);
+        self.apply_news(state, now, Source::Beat, &beat.news);
         let name = beat.instance.clone();
         let is_same_centre = beat.centre == self.settings.borrow().centre;
-        if state.peers.hear(now, address, beat) && is_same_centre {
+        if state.peers.record_beat(now, address, beat) && is_same_centre {
             tracing::info!(event = "peer_heard", peer = %name, %address);
         }
     }
 
     /// Applies the news of a beat or a digest.
-    fn hear_news(&self, state: &mut State, now: Moment, source: Source, news: &News) {
+    fn apply_news(&self, state: &mut State, now: Moment, source: Source, news: &News) {
         let News {
             suspicions,
             leaving,
             residents,
         } = news;
-        state.hear_suspicions(&self.metrics, now, source, suspicions);
+        state.merge_suspicions(&self.metrics, now, source, suspicions);
         note_leaving(state, now, leaving);
         state.endpoints.hear_residents(now, residents);
     }
--- a/cornelstand/src/gateway/peers.rs
+++ b/cornelstand/src/gateway/peers.rs
@@ -181,7 +181,7 @@
     }
 
     /// Records a beat. Returns whether its sender was silent before.
-    pub(crate) fn hear(&mut self, now: Moment, address: SocketAddr, beat: Beat) -> bool {
+    pub(crate) fn record_beat(&mut self, now: Moment, address: SocketAddr, beat: Beat) -> bool {
         let peer = self.peers.entry(beat.instance.clone()).or_insert(Peer {
             address,
             centre: beat.centre.clone(),
@@ -204,7 +204,7 @@
     }
 
     /// Records a digest. Returns whether it is newer than the last one of its data centre.
-    pub(crate) fn hear_centre(&mut self, now: Moment, digest: Digest) -> bool {
+    pub(crate) fn record_digest(&mut self, now: Moment, digest: Digest) -> bool {
         let last = self.centres.get(&digest.centre);
         let is_old = |(heard, last): &(Moment, Digest)| {
             last.order >= digest.order && now.since(*heard) < SILENCE_TIMEOUT
--- a/cornelstand/src/gateway/peers_link.rs
+++ b/cornelstand/src/gateway/peers_link.rs
@@ -90,7 +90,7 @@
 
 /// The alarm to send now, if there is any.
 pub(crate) fn alarm_packet(gate: &Gate) -> Option<Packet> {
-    let suspicions = gate.alarms();
+    let suspicions = gate.take_alarms();
     if suspicions.is_empty() {
         return None;
     }
@@ -100,7 +100,7 @@
 
 /// Handles a datagram. Returns the addresses to which it is forwarded: a new digest of another data
 /// centre goes to the instances of this one.
-pub(crate) fn take(gate: &Gate, address: SocketAddr, bytes: &[u8]) -> Vec<SocketAddr> {
+pub(crate) fn handle_datagram(gate: &Gate, address: SocketAddr, bytes: &[u8]) -> Vec<SocketAddr> {
     let message = match postcard::from_bytes::<Message>(bytes) {
         Ok(message) => message,
         Err(error) => {
@@ -117,13 +117,13 @@
             let centre = gate.settings.borrow().centre.clone();
             let mut listeners = gate.state.borrow().peers.listeners(&centre);
             let is_forwarded = listeners.contains(&address);
-            if !gate.hear_centre(digest) || is_forwarded {
+            if !gate.receive_digest(digest) || is_forwarded {
                 listeners.clear();
             }
             listeners
         }
         Message::Alarm(suspicions) => {
-            gate.hear_alarm(&suspicions);
+            gate.receive_alarm(&suspicions);
             Vec::new()
         }
     }
@@ -180,7 +180,7 @@
         let mut has_received = false;
         while let Ok((length, address)) = socket.try_recv_from(&mut buffer) {
             let bytes = &buffer[..length];
-            send(&socket, bytes, &take(&gate, address, bytes));
+            send(&socket, bytes, &handle_datagram(&gate, address, bytes));
             has_received = true;
         }
         if has_received {
--- a/cornelstand/src/gateway/tests/containment.rs
+++ b/cornelstand/src/gateway/tests/containment.rs
@@ -14,7 +14,7 @@
 use crate::gateway::gate::Gate;
 use crate::gateway::metrics::GatewayMetrics;
 use crate::gateway::peers_link::{
-    DIGEST_PERIOD, Packet, alarm_packet, beat_packet, beat_period, digest_packet, take,
+    DIGEST_PERIOD, Packet, alarm_packet, beat_packet, beat_period, digest_packet, handle_datagram,
 };
 use crate::gateway::suspicion_news::SuspicionNews;
 use crate::gateway::tests::{crash, settings};
@@ -160,7 +160,7 @@
         advance(STEP).await;
         self.step += 1;
         for Datagram { from, to, bytes } in self.in_flight.remove(&self.step).unwrap_or_default() {
-            let addresses = take(&self.members[to].gate, from, &bytes);
+            let addresses = handle_datagram(&self.members[to].gate, from, &bytes);
             let packet = Packet {
                 bytes: bytes.to_vec(),
                 addresses,
--- a/cornelstand/src/gateway/tests/peers.rs
+++ b/cornelstand/src/gateway/tests/peers.rs
@@ -60,16 +60,16 @@
 #[test]
 fn a_late_beat_does_not_replace_a_newer_one() {
     let mut peers = Peers::default();
-    peers.hear(at(0), address(), beat("p", 2, 7));
-    peers.hear(at(1), address(), beat("p", 1, 3));
+    peers.record_beat(at(0), address(), beat("p", 2, 7));
+    peers.record_beat(at(1), address(), beat("p", 1, 3));
     assert_eq!(peers.loads(at(1), &north())[&5].running, 7);
 }
 
 #[test]
 fn loads_of_peers_add_up_and_those_of_silent_ones_do_not_count() {
     let mut peers = Peers::default();
-    peers.hear(at(0), address(), beat("p", 1, 3));
-    peers.hear(at(1_000), address(), beat("q", 1, 4));
+    peers.record_beat(at(0), address(), beat("p", 1, 3));
+    peers.record_beat(at(1_000), address(), beat("q", 1, 4));
     assert_eq!(peers.loads(at(1_000), &north())[&5].running, 7);
     assert_eq!(peers.loads(at(2_000), &north())[&5].running, 4);
     assert_eq!(peers.lost(at(1_400), at(1_600)), [&InstanceName::from("p")]);
@@ -79,7 +79,7 @@
 #[test]
 fn a_silent_peer_still_counts_for_limits() {
     let mut peers = Peers::default();
-    peers.hear(at(0), address(), beat("p", 1, 3));
+    peers.record_beat(at(0), address(), beat("p", 1, 3));
     assert_eq!(peers.count(), 2);
     peers.forget(at(30_000));
     assert_eq!(peers.count(), 2);
@@ -88,8 +88,8 @@
 #[test]
 fn the_newest_configuration_is_found() {
     let mut peers = Peers::default();
-    peers.hear(at(0), address(), beat("p", 3, 1));
-    peers.hear(at(0), address(), beat("q", 5, 1));
+    peers.record_beat(at(0), address(), beat("p", 3, 1));
+    peers.record_beat(at(0), address(), beat("q", 5, 1));
     assert_eq!(peers.ahead(at(0), 4).map(|(version, _)| version), Some(5));
     assert_eq!(peers.ahead(at(0), 5), None);
 }
@@ -97,10 +97,10 @@
 #[test]
 fn a_restarted_peer_begins_anew() {
     let mut peers = Peers::default();
-    peers.hear(at(0), address(), beat("p", 900, 7));
+    peers.record_beat(at(0), address(), beat("p", 900, 7));
     let mut restarted = beat("p", 1, 0);
     restarted.incarnation = 2;
-    peers.hear(at(1), address(), restarted);
+    peers.record_beat(at(1), address(), restarted);
     assert_eq!(peers.loads(at(1), &north())[&5].running, 0);
 }
 
@@ -112,7 +112,7 @@
             let mut beat = beat(&format!("{centre}-{i}"), 1, 1);
             beat.centre = CentreName::from(centre);
             beat.cores = if i == 3 { 0.5 } else { 0.12 };
-            peers.hear(
+            peers.record_beat(
                 at(0),
                 ([10, 0, 0, u8::try_from(i).expect("few")], 7_400).into(),
                 beat,
@@ -144,7 +144,7 @@
         beat.store_lost = i % 2 != 0;
         beat.stopping = i % 2 == 0;
         beat.cores = 0.5;
-        peers.hear(at(10), address(), beat);
+        peers.record_beat(at(10), address(), beat);
     }
     assert!(peers.leads(at(10), &small, false));
 }
@@ -157,8 +157,8 @@
     let digest = peers.digest(at(0), &own, 1, address());
     assert_eq!((digest.members, digest.loads[0].running), (9, 8 + 5));
     let mut elsewhere = fleet(8);
-    assert!(elsewhere.hear_centre(at(0), digest.clone()));
-    assert!(!elsewhere.hear_centre(at(0), digest));
+    assert!(elsewhere.record_digest(at(0), digest.clone()));
+    assert!(!elsewhere.record_digest(at(0), digest));
     assert_eq!(elsewhere.loads(at(0), &north())[&5].running, 8 + 13);
 }
 
@@ -183,7 +183,7 @@
         let mut south = beat("south-9", 7, 5);
         south.centre = CentreName::from("south");
         let heard = peers.digest(at(0), &south, 1, address());
-        peers.hear_centre(at(0), heard);
+        peers.record_digest(at(0), heard);
         gate.state.borrow_mut().peers = peers;
         let mut leaders = BTreeSet::new();
         for _ in 0..4 {
@@ -204,7 +204,7 @@
     own.version = 9;
     let digest = peers.digest(at(0), &own, 1, address());
     assert_eq!(peers.ahead(at(0), 4), None);
-    peers.hear_centre(at(0), digest);
+    peers.record_digest(at(0), digest);
     assert_eq!(peers.ahead(at(0), 4).map(|(version, _)| version), Some(9));
     assert_eq!(peers.ahead(at(2_000), 4), None);
 }
@@ -219,7 +219,7 @@
     third.cores = 0.25;
     let mut beat = beat("north-9", 1, 1);
     beat.cores = 0.3;
-    peers.hear(at(0), address(), beat);
+    peers.record_beat(at(0), address(), beat);
     assert!(!peers.watches(at(0), &third, false));
 }
 
@@ -228,7 +228,7 @@
     let mut peers = fleet(3);
     let mut disconnected = beat("north-7", 1, 1);
     disconnected.store_time = None;
-    peers.hear(at(0), address(), disconnected);
+    peers.record_beat(at(0), address(), disconnected);
     let elsewhere = CentreName::from("elsewhere");
     assert_eq!(
         peers.store_time(at(0), &north()),
@@ -250,7 +250,7 @@
             number += 1;
             let mut beat = beat(name, number, 1);
             (beat.store_time, beat.store_lost) = (None, *is_lost);
-            peers.hear(at(round), address(), beat);
+            peers.record_beat(at(round), address(), beat);
         }
         let watching = (0..names.len()).filter(|i| {
             let mut own = settings(&names[*i]);
