--- a/cornelstand/src/gateway/follow.rs
+++ b/cornelstand/src/gateway/follow.rs
@@ -76,7 +76,7 @@
 /// Follows one kind until the process ends.
 pub(crate) async fn follow(gate: Rc<Gate>, followed: Followed) {
     // The first beats determine the leader.
-    while !gate.introduced.get() {
+    while !gate.discovery_done.get() {
         sleep(PEER_CHECK_PERIOD).await;
     }
     let mut client = StoreClient::new(gate.settings.borrow().store);
@@ -84,7 +84,7 @@
     let mut revision = None;
     let mut adoptions = 0;
     loop {
-        if !gate.watches() {
+        if !gate.watches_store() {
             // Others of this data centre watch, and this one fetches from them.
             revision = None;
             sleep(PEER_CHECK_PERIOD).await;
@@ -316,9 +316,9 @@
             sleep(LEADER_SETTLE_TIME).await;
         }
         is_first = false;
-        gate.introduced.set(true);
+        gate.discovery_done.set(true);
         if is_registered && is_listed {
-            let period = if gate.leads() {
+            let period = if gate.is_leader() {
                 LEADER_LIST_PERIOD
             } else {
                 FOLLOWER_LIST_PERIOD
@@ -401,8 +401,10 @@
     let now = gate.now();
     let newer_beliefs = state
         .peers
-        .better_informed(now, centre, state.directory.marks());
-    let newer_config = state.peers.ahead(now, state.directory.catalog().version);
+        .newer_beliefs(now, centre, state.directory.marks());
+    let newer_config = state
+        .peers
+        .newer_config(now, state.directory.catalog().version);
     newer_beliefs
         .filter(|_| may_adopt)
         .or(newer_config.map(|(_, address)| address))
@@ -410,7 +412,7 @@
 
 /// Whether endpoints and evacuations come from peers.
 fn follows_peers(gate: &Gate) -> bool {
-    !gate.watches() || !gate.state.borrow().directory.has_store()
+    !gate.watches_store() || !gate.state.borrow().directory.has_store()
 }
 
 async fn sync_from(gate: &Gate, address: SocketAddr) {
--- a/cornelstand/src/gateway/gate.rs
+++ b/cornelstand/src/gateway/gate.rs
@@ -97,7 +97,7 @@
     /// Moving average of requests per second.
     pub(crate) activity: Cell<f64>,
     /// Whether the first attempt to discover peers is over.
-    pub(crate) introduced: Cell<bool>,
+    pub(crate) discovery_done: Cell<bool>,
     /// Wakes the beat sender when peers should learn of a change at once.
     pub(crate) news: Notify,
     /// Wakes the alarm sender.
@@ -153,7 +153,7 @@
             has_room: Cell::new(false),
             lag: Cell::new(0.0),
             activity: Cell::new(0.0),
-            introduced: Cell::new(false),
+            discovery_done: Cell::new(false),
             news: Notify::new(),
             alarm: Notify::new(),
             connections: Cell::new(0),
@@ -405,10 +405,12 @@
 
     /// Whether this instance watches the store; in a large fleet two of each data centre do, so
     /// that a hanging watch delays nobody.
-    pub(crate) fn watches(&self) -> bool {
+    pub(crate) fn watches_store(&self) -> bool {
         let (state, now) = (self.state.borrow(), self.now());
         let is_lost = state.directory.is_store_lost(now);
-        state.peers.watches(now, &self.settings.borrow(), is_lost)
+        state
+            .peers
+            .watches_store(now, &self.settings.borrow(), is_lost)
     }
 
     /// Time since which the store has answered a peer of this data centre, or now.
@@ -420,10 +422,10 @@
     }
 
     /// Whether this instance is the leader of its data centre.
-    pub(crate) fn leads(&self) -> bool {
+    pub(crate) fn is_leader(&self) -> bool {
         let (state, now) = (self.state.borrow(), self.now());
         let is_lost = state.directory.is_store_lost(now);
-        state.peers.leads(now, &self.settings.borrow(), is_lost)
+        state.peers.is_leader(now, &self.settings.borrow(), is_lost)
     }
 
     /// Applies a digest of another data centre. Returns whether it is new.
@@ -494,7 +496,7 @@
         let now = self.now();
         let mut state = self.state.borrow_mut();
         let state = &mut *state;
-        self.metrics.peers.set(gauge(state.peers.all().len()));
+        self.metrics.peers.set(gauge(state.peers.addresses().len()));
         let centre = &self.settings.borrow().centre;
         let loads = state.peers.loads(now, centre);
         let load = |key| loads.get(&key).copied().unwrap_or_default();
--- a/cornelstand/src/gateway/peers.rs
+++ b/cornelstand/src/gateway/peers.rs
@@ -222,12 +222,17 @@
     }
 
     /// Whether the instance with `settings` leads its data centre.
-    pub(crate) fn leads(&self, now: Moment, settings: &GatewaySettings, is_lost: bool) -> bool {
+    pub(crate) fn is_leader(&self, now: Moment, settings: &GatewaySettings, is_lost: bool) -> bool {
         !self.is_large() || self.count_higher_ranked(now, settings, is_lost) == 0
     }
 
     /// Whether the instance with `settings` watches the store.
-    pub(crate) fn watches(&self, now: Moment, settings: &GatewaySettings, is_lost: bool) -> bool {
+    pub(crate) fn watches_store(
+        &self,
+        now: Moment,
+        settings: &GatewaySettings,
+        is_lost: bool,
+    ) -> bool {
         !self.is_large() || self.count_higher_ranked(now, settings, is_lost) < STORE_WATCHERS
     }
 
@@ -293,7 +298,7 @@
     /// Instances to which the leader of `centre` sends the digest `number`, one per other data
     /// centre: alternately the leader whose digests arrive and the one ranked second, or, while no
     /// digests arrive, each instance there in turn.
-    pub(crate) fn other_leaders(
+    pub(crate) fn digest_targets(
         &self,
         now: Moment,
         centre: &CentreName,
@@ -320,7 +325,7 @@
     }
 
     /// Addresses to which beats are sent.
-    pub(crate) fn listeners(&self, centre: &CentreName) -> Vec<SocketAddr> {
+    pub(crate) fn beat_targets(&self, centre: &CentreName) -> Vec<SocketAddr> {
         let is_large = self.is_large();
         let neighbours = self
             .peers
@@ -329,7 +334,7 @@
         neighbours.map(|p| p.address).collect()
     }
 
-    pub(crate) fn all(&self) -> Vec<SocketAddr> {
+    pub(crate) fn addresses(&self) -> Vec<SocketAddr> {
         self.peers.values().map(|p| p.address).collect()
     }
 
@@ -413,7 +418,7 @@
     }
 
     /// Instance of `centre` with newer endpoints or evacuations than `marks`.
-    pub(crate) fn better_informed(
+    pub(crate) fn newer_beliefs(
         &self,
         now: Moment,
         centre: &CentreName,
@@ -437,7 +442,7 @@
     }
 
     /// Peer with the newest configuration, if that is newer than `version`.
-    pub(crate) fn ahead(&self, now: Moment, version: u64) -> Option<(u64, SocketAddr)> {
+    pub(crate) fn newer_config(&self, now: Moment, version: u64) -> Option<(u64, SocketAddr)> {
         let live = self.live(now).map(|b| (b.version, b.beliefs));
         let fresh = self
             .centres
--- a/cornelstand/src/gateway/peers_link.rs
+++ b/cornelstand/src/gateway/peers_link.rs
@@ -37,12 +37,12 @@
 pub(crate) fn beat_period(gate: &Gate) -> Duration {
     let centre = gate.settings.borrow().centre.clone();
     let state = gate.state.borrow();
-    let listeners = state.peers.listeners(&centre).len();
-    if !state.peers.is_large() || listeners == 0 {
+    let targets = state.peers.beat_targets(&centre).len();
+    if !state.peers.is_large() || targets == 0 {
         return BEAT_PERIOD;
     }
     let own = gate.activity.get() + 1.0;
-    let all = state.peers.activity(gate.now(), &centre) + own + float(listeners);
+    let all = state.peers.activity(gate.now(), &centre) + own + float(targets);
     let rate = DATAGRAMS_PER_S * own / all;
     Duration::from_secs_f64(1.0 / rate).clamp(BEAT_PERIOD, BEAT_PERIOD_MAX)
 }
@@ -69,23 +69,23 @@
 /// The beat to send now.
 pub(crate) fn beat_packet(gate: &Gate) -> Option<Packet> {
     let beat = gate.beat();
-    let listeners = gate.state.borrow().peers.listeners(&beat.centre);
-    Packet::new(&Message::Beat(beat), listeners)
+    let targets = gate.state.borrow().peers.beat_targets(&beat.centre);
+    Packet::new(&Message::Beat(beat), targets)
 }
 
 /// The digest to send now, if this instance is the leader of its data centre in a large fleet.
 pub(crate) fn digest_packet(gate: &Gate) -> Option<Packet> {
-    if !gate.state.borrow().peers.is_large() || !gate.leads() {
+    if !gate.state.borrow().peers.is_large() || !gate.is_leader() {
         let now = gate.now();
         gate.state.borrow_mut().suspicion_news.digests.forget(now);
         return None;
     }
     let digest = gate.digest();
     let state = gate.state.borrow();
-    let leaders = state
+    let targets = state
         .peers
-        .other_leaders(gate.now(), &digest.centre, digest.order.1);
-    Packet::new(&Message::Digest(digest), leaders)
+        .digest_targets(gate.now(), &digest.centre, digest.order.1);
+    Packet::new(&Message::Digest(digest), targets)
 }
 
 /// The alarm to send now, if there is any.
@@ -94,7 +94,7 @@
     if suspicions.is_empty() {
         return None;
     }
-    let all = gate.state.borrow().peers.all();
+    let all = gate.state.borrow().peers.addresses();
     Packet::new(&Message::Alarm(suspicions), all)
 }
 
@@ -115,12 +115,12 @@
         }
         Message::Digest(digest) => {
             let centre = gate.settings.borrow().centre.clone();
-            let mut listeners = gate.state.borrow().peers.listeners(&centre);
-            let is_forwarded = listeners.contains(&address);
+            let mut targets = gate.state.borrow().peers.beat_targets(&centre);
+            let is_forwarded = targets.contains(&address);
             if !gate.receive_digest(digest) || is_forwarded {
-                listeners.clear();
+                targets.clear();
             }
-            listeners
+            targets
         }
         Message::Alarm(suspicions) => {
             gate.receive_alarm(&suspicions);
--- a/cornelstand/src/gateway/tests/peers.rs
+++ b/cornelstand/src/gateway/tests/peers.rs
@@ -90,8 +90,11 @@
     let mut peers = Peers::default();
     peers.record_beat(at(0), address(), beat("p", 3, 1));
     peers.record_beat(at(0), address(), beat("q", 5, 1));
-    assert_eq!(peers.ahead(at(0), 4).map(|(version, _)| version), Some(5));
-    assert_eq!(peers.ahead(at(0), 5), None);
+    assert_eq!(
+        peers.newer_config(at(0), 4).map(|(version, _)| version),
+        Some(5)
+    );
+    assert_eq!(peers.newer_config(at(0), 5), None);
 }
 
 #[test]
@@ -125,8 +128,8 @@
 #[test]
 fn in_a_small_fleet_every_instance_watches_and_hears_all() {
     let peers = fleet(3);
-    assert!(peers.leads(at(0), &settings("north-9"), false));
-    assert_eq!(peers.listeners(&north()).len(), 6);
+    assert!(peers.is_leader(at(0), &settings("north-9"), false));
+    assert_eq!(peers.beat_targets(&north()).len(), 6);
 }
 
 #[test]
@@ -136,9 +139,9 @@
     small.cores = 0.12;
     let mut large = settings("north-9");
     large.cores = 2.0;
-    assert!(!peers.leads(at(0), &small, false));
-    assert!(peers.leads(at(0), &large, false));
-    assert!(peers.leads(at(5_000), &small, false));
+    assert!(!peers.is_leader(at(0), &small, false));
+    assert!(peers.is_leader(at(0), &large, false));
+    assert!(peers.is_leader(at(5_000), &small, false));
     for i in 0..8 {
         let mut beat = beat(&format!("north-{i}"), 2, 1);
         beat.store_lost = i % 2 != 0;
@@ -146,7 +149,7 @@
         beat.cores = 0.5;
         peers.record_beat(at(10), address(), beat);
     }
-    assert!(peers.leads(at(10), &small, false));
+    assert!(peers.is_leader(at(10), &small, false));
 }
 
 #[test]
@@ -165,9 +168,9 @@
 #[test]
 fn messages_of_a_large_fleet_stay_in_their_data_centre_but_for_the_digests() {
     let peers = fleet(8);
-    assert_eq!(peers.listeners(&north()).len(), 8);
+    assert_eq!(peers.beat_targets(&north()).len(), 8);
     let leaders: Vec<_> = (0..2)
-        .map(|turn| peers.other_leaders(at(0), &north(), turn))
+        .map(|turn| peers.digest_targets(at(0), &north(), turn))
         .collect();
     assert_eq!((leaders[0].len(), leaders[1].len()), (1, 1));
     assert_ne!(leaders[0], leaders[1]);
@@ -190,7 +193,7 @@
             (0..beats).for_each(|_| drop(gate.beat()));
             let digest = gate.digest();
             let state = gate.state.borrow();
-            leaders.extend(state.peers.other_leaders(at(0), &north(), digest.order.1));
+            leaders.extend(state.peers.digest_targets(at(0), &north(), digest.order.1));
         }
         assert!(leaders.len() > 1, "{beats} beats between: {leaders:?}");
     }
@@ -203,10 +206,13 @@
     own.centre = CentreName::from("south");
     own.version = 9;
     let digest = peers.digest(at(0), &own, 1, address());
-    assert_eq!(peers.ahead(at(0), 4), None);
+    assert_eq!(peers.newer_config(at(0), 4), None);
     peers.record_digest(at(0), digest);
-    assert_eq!(peers.ahead(at(0), 4).map(|(version, _)| version), Some(9));
-    assert_eq!(peers.ahead(at(2_000), 4), None);
+    assert_eq!(
+        peers.newer_config(at(0), 4).map(|(version, _)| version),
+        Some(9)
+    );
+    assert_eq!(peers.newer_config(at(2_000), 4), None);
 }
 
 #[test]
@@ -214,13 +220,13 @@
     let mut peers = fleet(8);
     let mut second = settings("north-9");
     second.cores = 0.3;
-    assert!(!peers.leads(at(0), &second, false) && peers.watches(at(0), &second, false));
+    assert!(!peers.is_leader(at(0), &second, false) && peers.watches_store(at(0), &second, false));
     let mut third = settings("north-8");
     third.cores = 0.25;
     let mut beat = beat("north-9", 1, 1);
     beat.cores = 0.3;
     peers.record_beat(at(0), address(), beat);
-    assert!(!peers.watches(at(0), &third, false));
+    assert!(!peers.watches_store(at(0), &third, false));
 }
 
 #[test]
@@ -255,7 +261,7 @@
         let watching = (0..names.len()).filter(|i| {
             let mut own = settings(&names[*i]);
             own.cores = 0.25;
-            peers.watches(at(round), &own, lost[*i])
+            peers.watches_store(at(round), &own, lost[*i])
         });
         let watching: Vec<usize> = watching.collect();
         assert_eq!(watching.len(), 2, "round {round}");
