--- a/cornelstand/src/gateway/containment.rs
+++ b/cornelstand/src/gateway/containment.rs
@@ -139,7 +139,7 @@
             });
             // The peer knows too few crashes to refuse it, and is sent them again.
             if evidence.is_refused && received.crashes.len() < MAX_CRASHES {
-                self.suspicion_news.reply(now, source, request);
+                self.suspicion_news.resend(now, source, request);
             }
         }
     }
--- a/cornelstand/src/gateway/gate.rs
+++ b/cornelstand/src/gateway/gate.rs
@@ -454,7 +454,7 @@
         let state = &mut *state;
         let outbox = &mut state.suspicion_news.alarms;
         let suspicions = outbox.take_news(now, &state.suspects);
-        self.metrics.untold.inc_by(outbox.take_untold());
+        self.metrics.untold.inc_by(outbox.take_unsent());
         suspicions
     }
 
@@ -523,7 +523,7 @@
         state.beat_count += 1;
         let outbox = outbox(&mut state.suspicion_news);
         let suspicions = outbox.take(now, &state.suspects);
-        self.metrics.untold.inc_by(outbox.take_untold());
+        self.metrics.untold.inc_by(outbox.take_unsent());
         let loads = state.endpoints.own_loads();
         let loads = loads.map(|(key, load)| PeerLoad::new(key, load));
         let wanting = state.admission.wanting(now);
--- a/cornelstand/src/gateway/peers_link.rs
+++ b/cornelstand/src/gateway/peers_link.rs
@@ -77,7 +77,11 @@
 pub(crate) fn digest_packet(gate: &Gate) -> Option<Packet> {
     if !gate.state.borrow().peers.is_large() || !gate.is_leader() {
         let now = gate.now();
-        gate.state.borrow_mut().suspicion_news.digests.forget(now);
+        gate.state
+            .borrow_mut()
+            .suspicion_news
+            .digests
+            .drop_expired(now);
         return None;
     }
     let digest = gate.digest();
--- a/cornelstand/src/gateway/suspicion_news.rs
+++ b/cornelstand/src/gateway/suspicion_news.rs
@@ -137,14 +137,14 @@
     }
 
     /// Drops expired changes, at an instance that does not send these messages.
-    pub(crate) fn forget(&mut self, now: Moment) {
+    pub(crate) fn drop_expired(&mut self, now: Moment) {
         for queue in [&mut self.refused, &mut self.others] {
             queue.retain(|c| now.since(c.queued_at) < CHANGE_LIFETIME);
         }
     }
 
     /// Changes dropped unsent since the last call.
-    pub(crate) fn take_untold(&mut self) -> u64 {
+    pub(crate) fn take_unsent(&mut self) -> u64 {
         std::mem::take(&mut self.unsent)
     }
 }
@@ -189,7 +189,7 @@
     }
 
     /// Queues a refused request again for the peers behind `source`.
-    pub(crate) fn reply(&mut self, now: Moment, source: Source, request: Fingerprint) {
+    pub(crate) fn resend(&mut self, now: Moment, source: Source, request: Fingerprint) {
         let outbox = if source.is_digest() {
             &mut self.digests
         } else {
--- a/cornelstand/src/gateway/tests/containment.rs
+++ b/cornelstand/src/gateway/tests/containment.rs
@@ -319,7 +319,7 @@
         }
     }
     assert!(sends.iter().all(|times| *times == 3), "{sends:?}");
-    assert_eq!(news.beats.take_untold(), 0);
+    assert_eq!(news.beats.take_unsent(), 0);
 }
 
 #[rstest]
