--- a/cornelstand/src/gateway/containment.rs
+++ b/cornelstand/src/gateway/containment.rs
@@ -91,9 +91,9 @@
             crashes = evidence.crashes,
         );
         drop(state);
-        self.news.notify_one();
+        self.beat_trigger.notify_one();
         if evidence.is_refused {
-            self.alarm.notify_one();
+            self.alarm_trigger.notify_one();
         }
     }
 
--- a/cornelstand/src/gateway/follow.rs
+++ b/cornelstand/src/gateway/follow.rs
@@ -235,14 +235,14 @@
     let has_changed = state.directory.mark_evacuations(revision);
     drop(state);
     if has_changed {
-        gate.news.notify_one();
+        gate.beat_trigger.notify_one();
     }
 }
 
 /// Notifies the peers if endpoints have changed.
 fn announce_endpoints(gate: &Gate, revision: u64) {
     if gate.state.borrow_mut().directory.mark_endpoints(revision) {
-        gate.news.notify_one();
+        gate.beat_trigger.notify_one();
     }
 }
 
@@ -445,7 +445,7 @@
     let changes = state.directory.adopt(gate.now(), beliefs);
     drop(state);
     gate.apply(changes);
-    gate.news.notify_one();
+    gate.beat_trigger.notify_one();
 }
 
 async fn fetch_beliefs(address: SocketAddr) -> Result<Beliefs, String> {
--- a/cornelstand/src/gateway/gate.rs
+++ b/cornelstand/src/gateway/gate.rs
@@ -99,9 +99,9 @@
     /// Whether the first attempt to discover peers is over.
     pub(crate) discovery_done: Cell<bool>,
     /// Wakes the beat sender when peers should learn of a change at once.
-    pub(crate) news: Notify,
+    pub(crate) beat_trigger: Notify,
     /// Wakes the alarm sender.
-    pub(crate) alarm: Notify,
+    pub(crate) alarm_trigger: Notify,
     pub(crate) connections: Cell<usize>,
     /// Detects pauses of the process.
     pub(crate) pauses: PauseWatch,
@@ -154,8 +154,8 @@
             lag: Cell::new(0.0),
             activity: Cell::new(0.0),
             discovery_done: Cell::new(false),
-            news: Notify::new(),
-            alarm: Notify::new(),
+            beat_trigger: Notify::new(),
+            alarm_trigger: Notify::new(),
             connections: Cell::new(0),
             pauses: PauseWatch::default(),
         }
@@ -246,7 +246,7 @@
         };
         place.charged = waiting.cost();
         if place.prompt_tokens() >= URGENT_PROMPT_TOKENS {
-            self.news.notify_one();
+            self.beat_trigger.notify_one();
         }
         state.admission.remove(id);
         state.admission.charge(now, &waiting);
@@ -290,7 +290,7 @@
         }
         drop(state);
         if starts_leaving {
-            self.news.notify_one();
+            self.beat_trigger.notify_one();
         }
     }
 
@@ -317,7 +317,7 @@
     pub(crate) fn begin(&self, place: &mut Place) {
         self.state.borrow_mut().endpoints.begin(self.now(), place);
         if place.prompt_tokens() >= URGENT_PROMPT_TOKENS {
-            self.news.notify_one();
+            self.beat_trigger.notify_one();
         }
         self.request_queue_pass();
     }
--- a/cornelstand/src/gateway/peers_link.rs
+++ b/cornelstand/src/gateway/peers_link.rs
@@ -27,7 +27,11 @@
         let period = beat_period(&gate);
         sleep(BEAT_PERIOD).await;
         // A timeout is the usual case: there was no news.
-        let _ = timeout(period.saturating_sub(BEAT_PERIOD), gate.news.notified()).await;
+        let _ = timeout(
+            period.saturating_sub(BEAT_PERIOD),
+            gate.beat_trigger.notified(),
+        )
+        .await;
         send_beat(&gate, &socket);
     }
 }
@@ -153,7 +157,7 @@
 /// Sends alarms to all peers.
 pub(crate) async fn send_alarms(gate: Rc<Gate>, socket: Rc<UdpSocket>) {
     loop {
-        gate.alarm.notified().await;
+        gate.alarm_trigger.notified().await;
         if let Some(packet) = alarm_packet(&gate) {
             send(&socket, &packet.bytes, &packet.addresses);
         }
