--- a/cornelstand/src/gateway/containment.rs
+++ b/cornelstand/src/gateway/containment.rs
@@ -16,7 +16,7 @@
 use crate::name::{BootId, Fingerprint};
 use crate::suspect::{Crash, MAX_CRASHES, Standing, Suspects, Suspicion};
 
-/// Timeout for connecting to an endpoint.
+/// Timeout of the connection probe to an endpoint.
 const PROBE_TIMEOUT: Duration = Duration::from_millis(250);
 
 /// Where a suspicion comes from.
--- a/cornelstand/src/gateway/gate.rs
+++ b/cornelstand/src/gateway/gate.rs
@@ -56,8 +56,8 @@
 }
 
 impl State {
-    /// Removes a request that got no place from the queue. Returns the delay after which its
-    /// caller should retry.
+    /// Refuses a queued request for lack of a place. Returns the delay after which its caller
+    /// should retry.
     fn refuse(&mut self, now: Moment, id: WaitId) -> Duration {
         self.waiters.remove(&id);
         let Some(waiting) = self.admission.remove(id) else {
--- a/cornelstand/src/gateway/peers.rs
+++ b/cornelstand/src/gateway/peers.rs
@@ -72,7 +72,7 @@
 pub(crate) struct News {
     /// Requests suspected of crashes.
     pub(crate) suspicions: Vec<Suspicion>,
-    /// Endpoints that recently announced to leave, by [`endpoint_key`].
+    /// Endpoints that recently announced that they leave, by [`endpoint_key`].
     pub(crate) leaving: Vec<u32>,
     /// Parts of prompts that engines recently cached.
     pub(crate) residents: Vec<Resident>,
@@ -132,7 +132,7 @@
 pub(crate) enum Message {
     Beat(Beat),
     Digest(Digest),
-    /// What all peers should know before a caller can retry.
+    /// Suspicions that all peers need before a caller can retry.
     Alarm(Vec<Suspicion>),
 }
 
@@ -156,7 +156,7 @@
 type Rank = (u64, u64);
 
 fn rank(name: &InstanceName, cores: f32) -> Rank {
-    // Hundredths as integers, for a total order.
+    // Whole hundredths, because floats have no total order.
     let cores = whole(f64::from(cores) * 100.0);
     (cores, xxhash_rust::xxh3::xxh3_64(name.as_str().as_bytes()))
 }
--- a/cornelstand/src/gateway/tests/peers.rs
+++ b/cornelstand/src/gateway/tests/peers.rs
@@ -243,8 +243,8 @@
     assert_eq!(peers.store_time(at(0), &elsewhere), None);
 }
 
-/// Guards against all instances of a data centre calling the store and leading once the two that
-/// watched it had lost it: up to 14,803 calls on a day.
+/// Guards against all instances of a data centre calling the store, and leading, after its two
+/// watchers lost the store: up to 14,803 calls on a day.
 #[test]
 fn while_the_store_is_away_two_instances_at_a_time_ask_it() {
     let names: Vec<String> = (0..30).map(|i| format!("north-{i}")).collect();
