--- a/cornelstand/src/gateway/message.rs
+++ b/cornelstand/src/gateway/message.rs
@@ -229,7 +229,7 @@
     }
 
     fn text(&self, range: (usize, usize)) -> &str {
-        // httparse accepts only ASCII in methods, targets and names.
+        // httparse accepts ASCII methods and names, and UTF-8 targets.
         std::str::from_utf8(&self.bytes[range.0..range.1]).unwrap_or_default()
     }
 }
