--- a/cornelstand/src/gateway/mod.rs
+++ b/cornelstand/src/gateway/mod.rs
@@ -1,10 +1,10 @@
-//! The gateway: one instance on the users' platform.
+//! The gateway: one instance, which proxies requests to endpoints on the platform.
 //!
-//! Callers' requests come in at [`connection`], get their route and account in [`call`], are
-//! admitted by [`admission`] and placed by [`placement`], and [`relay`] carries the answer back.
-//! What an instance believes of the world is in [`directory`], filled by the platform's store, and
-//! what its peers do in [`peers`]. Everything runs on one thread: instances have a fraction of a
-//! core, and a wake-up of another thread costs more than it gains.
+//! [`connection`] reads callers' requests, [`call`] resolves their route and account, [`admission`]
+//! queues them, [`placement`] selects an endpoint, and [`relay`] returns the response.
+//! [`directory`] holds the configuration and endpoints read from the platform's store, and
+//! [`peers`] the load that other instances report. Everything runs on one thread: instances have a
+//! fraction of a core, and waking another thread costs more than it gains.
 
 pub(crate) mod acquire;
 pub(crate) mod admin;
