--- a/cornelstand/src/gateway/acquire.rs
+++ b/cornelstand/src/gateway/acquire.rs
@@ -1,4 +1,4 @@
-//! The wait of a request for its place.
+//! Waits until an endpoint has a place, a slot for one request, or the request is refused.
 
 use std::time::Duration;
 
@@ -11,20 +11,20 @@
 use crate::gateway::placement::{Place, PlaceEnd};
 use crate::moment::Moment;
 
-/// When a caller should come back that met a service without a usable endpoint.
+/// `Retry-After` when a service has no usable endpoint.
 const NO_ENDPOINT_RETURN: Duration = Duration::from_secs(1);
 
-/// Shortest time after which a caller should come back whose endpoints rest.
+/// Shortest `Retry-After` when all endpoints have asked for a back-off.
 const REST_RETURN: Duration = Duration::from_millis(20);
 
-/// What the wait for a place ended with.
+/// Outcome of waiting for a place.
 pub(crate) enum Acquired {
     Place(Place),
     Refused(Refused),
     Gone,
 }
 
-/// Waits for a place of a request, or for the reason to refuse it.
+/// Waits until the request gets a place, is refused, or its caller disconnects.
 pub(crate) async fn acquire(gate: &Gate, call: &mut Call, outlet: &mut Outlet) -> Acquired {
     if let Some(left) = gate.refused_for(call.fingerprint) {
         return refuse_place(call, CRASHED, left);
@@ -60,7 +60,7 @@
         place = &mut ticket.grant => place.ok(),
         () = outlet.gone() => {
             gate.withdraw(ticket.id);
-            // A place that was granted at the same time goes back.
+            // Releases a place that was granted concurrently.
             if let Ok(place) = ticket.grant.try_recv() {
                 gate.end(&place, PlaceEnd::Neutral);
             }
@@ -83,7 +83,7 @@
     refuse_place(call, "no endpoint had room in time", after)
 }
 
-/// Refusal of a request that no endpoint will take before `gives_up`, or now if that has passed.
+/// Refuses a request if no endpoint becomes available by `gives_up`, or by now if that is later.
 fn unservable(gate: &Gate, call: &Call, gives_up: Moment) -> Option<Acquired> {
     let now = gate.now();
     let (reason, after) = match gate.opens(now, &call.service, &call.tried) {
@@ -97,7 +97,7 @@
     Some(refuse_place(call, reason, after))
 }
 
-/// Logs what a refusal for want of a place was based on.
+/// Logs the admission state behind a refusal.
 fn log_refusal(gate: &Gate, call: &Call, cost: f64) {
     let admission = &gate.state.borrow().admission;
     let (now, account, service) = (gate.now(), call.account_name(), &call.service);
@@ -109,8 +109,8 @@
     );
 }
 
-/// The final answer of a request that finds no place. It promises that the request has not run,
-/// which is true only if nothing was sent.
+/// Final response to a request that got no place. A 503 promises that the request has not run, so
+/// it is used only if nothing was sent.
 fn refuse_place(call: &Call, reason: &'static str, after: Duration) -> Acquired {
     let status = if call.sends == 0 { 503 } else { 502 };
     Acquired::Refused(Refused::new(status, reason, Some(after)))
