--- a/cornelstand/src/gateway/call.rs
+++ b/cornelstand/src/gateway/call.rs
@@ -1,4 +1,4 @@
-//! One request of a caller, from its head to its final answer.
+//! Handles one request of a caller, from its head to the final response.
 
 use std::borrow::Cow;
 use std::rc::Rc;
@@ -21,21 +21,21 @@
 use crate::name::{AccountName, Fingerprint, ServiceName};
 use crate::platform::headers::{CallFields, read_call, write_own_answer};
 
-/// Account of requests that need no key.
+/// Account name of requests to public routes, which need no key.
 const ANYONE: &str = "-";
-/// When a caller should come back that met an instance without a configuration.
+/// `Retry-After` while the instance has no configuration.
 const UNCONFIGURED_RETURN: Duration = Duration::from_millis(500);
-/// When a caller should come back that met an instance that stops: at once, elsewhere.
+/// `Retry-After` while the instance shuts down; short, since a retry reaches another instance.
 const STOPPING_RETURN: Duration = Duration::from_millis(20);
-/// When a caller should come back that met an overloaded instance: at once, since the balancer sends
-/// the next try to another one.
+/// `Retry-After` while the instance is overloaded; short, since the load balancer sends the retry
+/// to another instance.
 const SHED_RETURN: Duration = Duration::from_millis(20);
-/// Why a request that crashed endpoints is refused.
+/// Reason in refusals of requests that have crashed endpoints.
 pub(crate) const CRASHED: &str = "the request crashed endpoints";
-/// Longest identifier of an event that is kept for resuming, in bytes.
+/// Longest event identifier that is kept for resuming a stream, in bytes.
 const EVENT_ID_BYTES: usize = 128;
 
-/// A request with its route and account.
+/// A request with its route, account and progress.
 #[derive(Debug)]
 pub(crate) struct Call {
     pub(crate) head: Head,
@@ -43,27 +43,27 @@
     pub(crate) request: Bytes,
     pub(crate) route: Arc<GatewayRoute>,
     pub(crate) service: ServiceName,
-    /// Account, unless the route is open to anyone.
+    /// Account, unless the route is public.
     pub(crate) account: Option<AccountName>,
     pub(crate) prompt: Option<Prompt>,
-    /// Tokens in an event of its answer.
+    /// Tokens per event of the response.
     pub(crate) stride: u32,
     pub(crate) deadline: Instant,
     arrived: Instant,
     pub(crate) fingerprint: Fingerprint,
     version: u64,
-    /// Times that the request was sent to an endpoint.
+    /// Number of times the request was sent to an endpoint.
     pub(crate) sends: u32,
     pub(crate) tried: Vec<EndpointIndex>,
-    /// Whether a part of the answer went to the caller.
+    /// Whether any part of the response was sent to the caller.
     pub(crate) has_begun: bool,
-    /// Tokens of the answer that the caller has.
+    /// Tokens of the response sent to the caller so far.
     pub(crate) generated: u32,
     pub(crate) first: Option<Instant>,
-    /// Last event that the caller has.
+    /// Identifier of the last event sent to the caller.
     last_event: Option<Vec<u8>>,
     pub(crate) queued: Duration,
-    /// Failure of an earlier attempt, which is delivered if no other follows.
+    /// Error response of an earlier attempt, delivered if no later attempt succeeds.
     held: Option<HeldAnswer>,
 }
 
@@ -72,22 +72,22 @@
         String::from_utf8_lossy(&self.request)
     }
 
-    /// Last event that the caller has of this answer.
+    /// Identifier of the last event that the caller received.
     pub(crate) fn resumes(&self) -> Option<&[u8]> {
         self.last_event.as_deref()
     }
 
-    /// Whether one more endpoint may get the request after it may have run.
+    /// Whether the request may be sent once more although it may have run.
     pub(crate) fn may_try_again(&self) -> bool {
         self.route.is_repeatable() && self.sends < self.route.attempts
     }
 
-    /// Whether a stream may go on at another endpoint.
+    /// Whether another endpoint may resume the stream.
     pub(crate) fn may_resume(&self) -> bool {
         self.route.kind.is_stream() && self.may_try_again()
     }
 
-    /// Keeps the identifier of the last whole event.
+    /// Records the identifier of the last complete event.
     pub(crate) fn note_events(&mut self, events: &[u8]) {
         if !self.route.resumable {
             return;
@@ -113,16 +113,16 @@
     }
 }
 
-/// How a request ended, for the log and the counters.
+/// How a request ended, for logs and metrics.
 #[derive(Clone, Copy, Debug)]
 struct Outcome {
     name: &'static str,
-    /// Zero if the caller got no whole answer.
+    /// Zero if the caller received no complete response.
     status: u16,
     reason: &'static str,
 }
 
-/// Serves one request and leaves the connection ready for the next, unless it has to be closed.
+/// Serves one request; the connection is reused for the next one unless it has to be closed.
 pub(crate) async fn serve(
     gate: &Rc<Gate>,
     head: Head,
@@ -152,12 +152,12 @@
     }
 }
 
-/// An answer of the gateway itself, before anything was sent.
+/// An error response generated by the gateway.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Refused {
     pub(crate) status: u16,
     pub(crate) reason: &'static str,
-    /// When the caller should come back.
+    /// Value of `Retry-After`.
     pub(crate) after: Option<Duration>,
 }
 
@@ -171,7 +171,7 @@
     }
 }
 
-/// Finds a request's route, account and limits.
+/// Resolves a request's route, account, service and deadline, or refuses it.
 fn open(
     gate: &Gate,
     head: Head,
@@ -258,11 +258,11 @@
     Fingerprint(hash.digest())
 }
 
-/// What follows an attempt.
+/// Next step after an attempt.
 enum Next {
     Again,
     End(Outcome),
-    /// The gateway's own final answer.
+    /// Send the gateway's own response.
     Answer(Refused),
 }
 
@@ -294,15 +294,15 @@
         }
     };
     gate.active.set(gate.active.get() - 1);
-    // Whatever ended without a whole answer ends with its connection.
+    // Without a complete response, the connection cannot be reused.
     if outcome.status == 0 {
         outlet.keep = false;
     }
     finish(gate, call, outcome);
 }
 
-/// Sends the final answer of a request that is given up: the failure that an endpoint answered with,
-/// if there is one, or the gateway's own.
+/// Sends the final response when no attempt is left: the error response of an endpoint if there is
+/// one, else the gateway's own.
 async fn give_up(gate: &Gate, call: &mut Call, outlet: &mut Outlet, refused: Refused) -> Outcome {
     if let Some(held) = call.held.take() {
         let status = held.head.status();
@@ -366,7 +366,7 @@
 ) -> Next {
     let before = call.sends;
     log_place(gate, call, &place);
-    // The entry may be gone when the attempt ends.
+    // The endpoint may be unlisted by the time the attempt ends.
     let Some(endpoint) = gate.record(&place) else {
         gate.end(&place, PlaceEnd::Unreachable);
         gate.refund(&call.account_name(), &place);
@@ -427,7 +427,7 @@
     }
 }
 
-/// What was not sent costs nothing; an endpoint that refused the request counts.
+/// Attempts that were never sent are not counted; a refusal by an endpoint is.
 fn after_not_run(gate: &Gate, call: &mut Call, reason: NotRun, is_sent: bool) -> Next {
     if !is_sent {
         return Next::Again;
@@ -443,7 +443,7 @@
         NotRun::Moved | NotRun::Unreachable => "the endpoint is gone",
         NotRun::Barred => CRASHED,
     };
-    // An earlier attempt may have run.
+    // After several sends, an earlier one may have run, which 503 would rule out.
     let status = if call.sends == 1 { 503 } else { 502 };
     let account = call.account_name();
     let after = gate
@@ -464,7 +464,7 @@
     Next::Answer(Refused::new(502, "the answer was lost", None))
 }
 
-/// Takes a repeat out of the instance's share of the retry budget.
+/// Takes one retry from this instance's share of the retry budget.
 fn repeat(gate: &Gate, call: &Call) -> bool {
     let rule = gate.settings.borrow().retry;
     let now = gate.now();
@@ -496,7 +496,7 @@
     );
 }
 
-/// Result of an attempt for the log, without its bytes.
+/// Formats the result of an attempt for the log, without the response body.
 struct AttemptName<'a>(&'a Attempt);
 
 impl std::fmt::Debug for AttemptName<'_> {
@@ -508,7 +508,7 @@
     }
 }
 
-/// Sends an answer of the gateway itself.
+/// Sends a response generated by the gateway.
 pub(crate) async fn answer_own(
     gate: &Gate,
     outlet: &mut Outlet,
