--- a/cornelstand/src/gateway/connection.rs
+++ b/cornelstand/src/gateway/connection.rs
@@ -1,4 +1,4 @@
-//! Callers' connections: one request after another, within the limits of the configuration.
+//! Accepts callers' connections and reads their requests within the configured limits.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -16,18 +16,18 @@
 use crate::gateway::upstream::{read_into, tune};
 use crate::platform::headers::read_call;
 
-/// Pause after an error of accepting that is not the connection's own.
+/// Pause after `accept` fails, for instance for want of file descriptors.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(100);
-/// Longest time for which bytes are taken in behind a request that was refused.
+/// Longest time to read and discard input after a request was refused.
 const DRAIN_TIMEOUT: Duration = Duration::from_millis(100);
-/// Longest time for a body whose caller names no deadline; large ones take some seconds.
+/// Longest time for a request body without a caller's deadline; large ones take some seconds.
 const BODY_TIMEOUT: Duration = Duration::from_mins(1);
-/// Descriptors that are left for connections to endpoints, the store and files.
+/// File descriptors reserved for connections to endpoints and the store, and for files.
 const RESERVED_DESCRIPTORS: usize = 900;
-/// Part of the connections from which callers are asked to close theirs after an answer.
+/// Share of the connection limit above which responses carry `Connection: close`.
 const CROWDED_PART: f64 = 0.5;
 
-/// Accepts callers until the process ends.
+/// Accepts callers' connections until the process ends.
 pub(crate) async fn accept(gate: Rc<Gate>, listener: TcpListener) {
     let most = most_connections(&gate);
     loop {
@@ -47,7 +47,7 @@
     }
 }
 
-/// The next connection at `listener`.
+/// Accepts the next connection and retries after errors.
 pub(crate) async fn accepted(listener: &TcpListener) -> TcpStream {
     loop {
         match listener.accept().await {
@@ -65,16 +65,16 @@
     most.saturating_sub(RESERVED_DESCRIPTORS).max(256)
 }
 
-/// Whether so many connections are open that idle ones should make room.
+/// Whether connections are closed after their response to free descriptors.
 fn is_crowded(gate: &Gate) -> bool {
     float(gate.connections.get()) >= float(most_connections(gate)) * CROWDED_PART
 }
 
-/// Why no request was read.
+/// Reason why no request was read.
 enum NoRequest {
-    /// The connection is closed or was idle for too long.
+    /// The connection was closed or exceeded its idle time.
     Over,
-    /// The caller was too slow.
+    /// The request did not arrive in time.
     Slow,
     Bad(MessageError),
 }
@@ -112,8 +112,8 @@
     }
 }
 
-/// Takes in what the caller still sends, for a moment: a close with unread bytes would reset the
-/// connection before the answer is read.
+/// Discards input for a short time: closing a socket with unread bytes resets the connection, and
+/// the caller may lose the response.
 async fn drain(outlet: &mut Outlet) {
     let until = Instant::now() + DRAIN_TIMEOUT;
     let mut left = 64;
@@ -127,7 +127,7 @@
     }
 }
 
-/// Reads a request, with the time at which its first byte was there.
+/// Reads a request. Also returns the time at which its first byte arrived.
 async fn read(
     outlet: &mut Outlet,
     limits: &RequestLimits,
@@ -169,14 +169,14 @@
     }
 }
 
-/// Longest time for a body, from the first byte of its request.
+/// Time limit of the body, counted from the first byte of the request.
 fn body_time(head: &Head) -> Duration {
     let patience = read_call(head).ok().and_then(|fields| fields.patience);
     patience.unwrap_or(BODY_TIMEOUT)
 }
 
 async fn more(outlet: &mut Outlet, until: Instant) -> Result<(), NoRequest> {
-    // A read that is always ready would pass by the timeout.
+    // `timeout_at` polls the read first, so a read that is always ready would never time out.
     if Instant::now() >= until {
         return Err(NoRequest::Slow);
     }
