--- a/cornelstand/src/gateway/relay.rs
+++ b/cornelstand/src/gateway/relay.rs
@@ -1,8 +1,8 @@
-//! One attempt of a request at one endpoint, and the way of the answer back.
+//! Sends a request to one endpoint and forwards the response to the caller.
 //!
-//! Answers of calls are held until they are whole, so that a cut one can be tried again or turned
-//! into an error. Events of streams go on as soon as they are whole: a stream that breaks off in
-//! the middle of an event can be resumed without a doubled or torn one.
+//! Responses to calls are buffered until complete, so that a truncated one can be retried or turned
+//! into an error. Stream events are forwarded as soon as each is complete, so that a stream that
+//! breaks off within an event is resumed without a duplicate or partial event.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -22,58 +22,58 @@
     AnswerFields, CallerFraming, Passing, read_answer, write_answer_head, write_request,
 };
 
-/// Longest time to open a connection; it takes some milliseconds between data centres.
+/// Time limit to connect; connecting to another data centre takes some milliseconds.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(350);
-/// Largest head of an answer, in bytes.
+/// Largest response head, in bytes.
 const HEAD_BYTES: usize = 64 * 1024;
-/// Largest answer of a call that is held until it is whole, in bytes.
+/// Largest response body that is buffered, in bytes.
 const CALL_BYTES: usize = 16 * 1024 * 1024;
-/// Largest event of a stream, in bytes; what is longer is taken for bytes without end.
+/// Largest stream event, in bytes; bounds the memory for an event that never ends.
 const EVENT_BYTES: usize = 256 * 1024;
-/// Most answers to earlier requests that are passed over on a connection.
+/// Most responses to other requests that are skipped on a connection.
 const FOREIGN_COUNT: u32 = 4;
-/// Part of the silence that callers bear after which a stream goes on elsewhere, which leaves as
-/// much for its next event there.
+/// Share of the silence callers tolerate after which a stream is resumed at another endpoint. The
+/// other half is left for the first event from there.
 const RESUME_PART: f64 = 0.5;
 
 /// How an attempt ended.
 #[derive(Debug, IsVariant)]
 pub(crate) enum Attempt {
-    /// The answer went to the caller whole, with this status.
+    /// The complete response was sent to the caller, with this status.
     Delivered(u16),
     /// The endpoint did not run the request.
     NotRun(NotRun),
-    /// The request may have run, and its answer, or the rest of it, will not come.
+    /// The request may have run, but its response is lost or incomplete.
     Lost(&'static str),
-    /// A whole answer that tells of a failure, not sent to the caller yet.
+    /// A complete error response, not yet sent to the caller.
     Failed(HeldAnswer),
-    /// The caller left.
+    /// The caller disconnected.
     Gone,
-    /// The time for the answer is over.
+    /// The deadline passed.
     Late,
 }
 
 /// Why an endpoint did not run a request.
 #[derive(Clone, Copy, Debug, Eq, IsVariant, PartialEq)]
 pub(crate) enum NotRun {
-    /// No connection; nothing was sent.
+    /// The connection could not be opened; nothing was sent.
     Unreachable,
-    /// It has no room.
+    /// The endpoint is at capacity.
     Busy,
-    /// Another endpoint has its address.
+    /// The address now belongs to another endpoint.
     Moved,
-    /// It was not sent: meanwhile it is known to crash endpoints.
+    /// Not sent, because the request has become known to crash endpoints.
     Barred,
 }
 
-/// An answer that was read whole.
+/// A completely buffered response.
 #[derive(Debug)]
 pub(crate) struct HeldAnswer {
     pub(crate) head: Head,
     pub(crate) body: Bytes,
 }
 
-/// Why a wait ended before what was waited for.
+/// Reason why an attempt was interrupted.
 #[derive(Debug, IsVariant)]
 enum Stop {
     Gone,
@@ -107,7 +107,7 @@
     }
 }
 
-/// Sends the request to the endpoint of `place` and carries its answer back.
+/// Sends the request to the endpoint of `place` and forwards the response.
 pub(crate) async fn attempt(
     gate: &Gate,
     call: &mut Call,
@@ -130,7 +130,7 @@
             Err(stop) => return stop.attempt(),
         }
     };
-    // A busy instance may get here long after the caller left.
+    // An overloaded instance may get here long after the caller disconnected.
     if outlet.is_gone() {
         return Attempt::Gone;
     }
@@ -165,7 +165,7 @@
     attempt
 }
 
-/// Until when a request waits for the next event after one at `progressed`.
+/// Deadline for the next event after one that came at `progressed`.
 fn silence_end(call: &Call, progressed: Instant) -> Instant {
     if call.may_resume() {
         let silence = call.route.silence().mul_f64(RESUME_PART);
@@ -175,7 +175,7 @@
     }
 }
 
-/// Waits for `work`, the caller's leave or the deadline.
+/// Runs `work` until it completes, the caller disconnects or the deadline passes.
 async fn race<T>(
     work: impl Future<Output = T>,
     outlet: &mut Outlet,
@@ -188,7 +188,7 @@
             () = outlet.gone() => Err(Stop::Gone),
         }
     };
-    // Work that is always ready would pass by the timeout.
+    // `timeout_at` polls the work first, so work that is always ready would never time out.
     if Instant::now() >= deadline {
         return Err(Stop::Late);
     }
@@ -197,7 +197,7 @@
         .unwrap_or(Err(Stop::Late))
 }
 
-/// A request on its connection.
+/// A request and its response on one upstream connection.
 struct Exchange<'a> {
     gate: &'a Gate,
     address: SocketAddr,
@@ -226,7 +226,7 @@
                 .answer_body(call.head.method())
                 .map_err(ReadError::from)?;
             if is_foreign {
-                // A late answer to an earlier request on this connection.
+                // A late response to an earlier request on this connection.
                 tracing::info!(event = "foreign_answer", request = %call.id(), address = %self.address);
                 self.is_reusable = false;
                 foreign += 1;
@@ -261,7 +261,7 @@
         }
     }
 
-    /// Sends the request, and stops sending when an answer comes before all of it is read.
+    /// Sends the request; stops early if the endpoint responds before it has read all of it.
     async fn send(&mut self, request: &[u8], call: &Call, outlet: &mut Outlet) -> Result<(), Stop> {
         let (stream, input) = (&self.upstream.stream, &mut self.upstream.input);
         let work = async {
@@ -272,7 +272,7 @@
             }
         };
         let sent = race(work, outlet, call.deadline).await?;
-        // After an error there may still be an answer to read.
+        // After a write error there may still be a response to read.
         self.is_sent = sent.unwrap_or(false);
         Ok(())
     }
@@ -297,7 +297,7 @@
         Ok(race(read, outlet, call.deadline).await??)
     }
 
-    /// Passes events on as they become whole.
+    /// Forwards each event of a stream once it is complete.
     async fn stream(
         &mut self,
         head: &Head,
@@ -315,7 +315,7 @@
             body.read(&mut self.upstream.input, &mut pending)
                 .map_err(ReadError::from)?;
             let is_end = body.is_done() || is_closed;
-            // A body that ends with its connection may have been cut off there.
+            // A body delimited by connection close may be truncated: it has to end with an event.
             if is_closed && !pending.is_empty() && !pending.ends_with(b"\n\n") {
                 return Ok(Attempt::Lost("closed in an event"));
             }
@@ -350,8 +350,8 @@
         }
     }
 
-    /// Reads more of a stream whose last event came at `progressed`: single bytes are no progress.
-    /// Returns whether the body ended with its connection.
+    /// Reads more of a stream whose last complete event came at `progressed`; partial events do not
+    /// extend the deadline. Returns whether the body ended because the connection was closed.
     async fn more(
         &mut self,
         body: &BodyReader,
@@ -370,13 +370,13 @@
     }
 }
 
-/// Whether an answer is the endpoint's own and may be used.
+/// Whether a response is authentic: a success needs a stamp and request ID, and no encoding.
 fn is_genuine(head: &Head, answer: &AnswerFields<'_>) -> bool {
     let is_good = (200..300).contains(&head.status());
     !is_good || (answer.has_stamp && answer.request.is_some() && !answer.is_encoded)
 }
 
-/// Adds events to what goes to the caller, with the head before the first ones.
+/// Appends events to the output, preceded by the response head if none was sent yet.
 fn write_events(
     out: &mut BytesMut,
     head: &Head,
@@ -413,7 +413,7 @@
     }
 }
 
-/// Sends an answer that was read whole.
+/// Sends a buffered response to the caller.
 pub(crate) async fn deliver(
     call: &mut Call,
     outlet: &mut Outlet,
