--- a/cornelstand/src/gateway/upstream.rs
+++ b/cornelstand/src/gateway/upstream.rs
@@ -1,6 +1,6 @@
 //! Connections to endpoints and to the store.
 //!
-//! A connection carries one request at a time and is used again only if nothing is left on it.
+//! A connection carries one request at a time and is reused only if no unread bytes remain.
 
 use std::collections::HashMap;
 use std::io;
@@ -18,22 +18,22 @@
 use crate::gateway::message::{BodyReader, Head, MessageError};
 use crate::gateway::outlet::write_all;
 
-/// Time after which unacknowledged bytes, or keep-alive probes, give a connection up.
+/// `TCP_USER_TIMEOUT`: how long sent bytes or probes may stay unacknowledged.
 const DEAD_TIMEOUT: Duration = Duration::from_millis(2_500);
-/// Time between keep-alive probes on a connection that is silent.
+/// Idle time before the first keep-alive probe, and between probes.
 const PROBE_PERIOD: Duration = Duration::from_secs(1);
-/// Probes without an answer that give a connection up.
+/// Unanswered keep-alive probes after which a connection is closed.
 const PROBES: u32 = 2;
-/// Longest time for which a connection is kept idle: endpoints may close it sooner than they say.
+/// Longest time a connection stays pooled: endpoints may close it earlier than they announce.
 const IDLE_MAX: Duration = Duration::from_secs(4);
-/// Margin before an endpoint's own idle limit, for a request that crosses the close.
+/// Margin before an endpoint's announced idle timeout, so that no request is sent as it closes.
 const IDLE_MARGIN: Duration = Duration::from_millis(700);
-/// Most heads that only announce an answer.
+/// Most interim (1xx) responses before the final one.
 const INTERIM_COUNT: u32 = 16;
-/// Most idle connections kept to one endpoint.
+/// Most idle connections pooled per endpoint.
 const IDLE_COUNT: usize = 32;
 
-/// Error of reading an answer.
+/// Error while reading a response.
 #[derive(Debug, Display, From)]
 pub(crate) enum ReadError {
     #[display("the connection failed: {_0}")]
@@ -48,12 +48,12 @@
 #[derive(Debug)]
 pub(crate) struct Upstream {
     pub(crate) stream: TcpStream,
-    /// Bytes read and not yet used.
+    /// Bytes read but not yet consumed.
     pub(crate) input: BytesMut,
 }
 
 impl Upstream {
-    /// Opens a connection.
+    /// Opens a connection within `time`.
     ///
     /// # Errors
     ///
@@ -68,10 +68,10 @@
         })
     }
 
-    /// Whether the connection is open and nothing came on it unasked.
+    /// Whether the connection is open and has no unread input.
     pub(crate) fn is_clean(&self) -> bool {
-        // The socket is asked itself: the runtime knows only what came before its last poll, which
-        // is long ago in a process that was paused.
+        // Peeks at the socket itself: the runtime's readiness dates from its last poll, which is
+        // long ago in a process that was paused.
         let read = SockRef::from(&self.stream).peek(&mut [MaybeUninit::uninit()]);
         let is_silent = matches!(&read, Err(e) if e.kind() == io::ErrorKind::WouldBlock);
         self.input.is_empty() && is_silent
@@ -81,7 +81,7 @@
     ///
     /// # Errors
     ///
-    /// Fails if the connection does, or is closed.
+    /// Fails on an I/O error or if the connection is closed.
     pub(crate) async fn read_more(&mut self) -> Result<(), ReadError> {
         match read_into(&self.stream, &mut self.input).await? {
             0 => Err(ReadError::Closed),
@@ -89,11 +89,11 @@
         }
     }
 
-    /// Reads the head of an answer, without those that only announce one.
+    /// Reads the head of the final response and skips interim (1xx) ones.
     ///
     /// # Errors
     ///
-    /// Fails if the connection does or the bytes are no answer.
+    /// Fails if the connection fails or the response is malformed.
     pub(crate) async fn answer_head(&mut self, limit: usize) -> Result<Head, ReadError> {
         let mut interim = 0;
         loop {
@@ -110,11 +110,11 @@
         }
     }
 
-    /// Sends a whole request and reads its whole answer.
+    /// Sends a request and reads the complete response.
     ///
     /// # Errors
     ///
-    /// Fails if the connection does, or the answer is malformed or larger than the limits.
+    /// Fails if the connection fails, or the response is malformed or exceeds the limits.
     pub(crate) async fn exchange(
         &mut self,
         method: &str,
@@ -128,11 +128,11 @@
         Ok((head, body))
     }
 
-    /// Reads a body to its end.
+    /// Reads a complete body.
     ///
     /// # Errors
     ///
-    /// Fails if the body is cut, badly framed or longer than `limit`.
+    /// Fails if the body is truncated, badly framed or longer than `limit`.
     pub(crate) async fn whole_body(
         &mut self,
         reader: &mut BodyReader,
@@ -155,10 +155,10 @@
     }
 }
 
-/// Reads what is there into `input`; zero if the peer closed.
+/// Waits for input and appends it to `input`; returns zero if the peer closed the connection.
 pub(crate) async fn read_into(stream: &TcpStream, input: &mut BytesMut) -> io::Result<usize> {
     loop {
-        // A peer that always has bytes ready would otherwise keep the thread from all others.
+        // A peer that always has bytes ready would otherwise starve all other tasks.
         consume_budget().await;
         input.reserve(4096);
         match stream.try_read_buf(input) {
@@ -168,7 +168,7 @@
     }
 }
 
-/// Sets what finds a dead peer. A socket that refuses an option still works without it.
+/// Enables `TCP_NODELAY` and dead-peer detection. Errors are only logged: both are optional.
 pub(crate) fn tune(stream: &TcpStream) {
     let socket = SockRef::from(stream);
     let probes = TcpKeepalive::new()
@@ -198,7 +198,7 @@
 }
 
 impl Pool {
-    /// Takes a connection on which a request may be sent.
+    /// Takes a connection that can be reused, and drops stale ones.
     pub(crate) fn take(&mut self, address: SocketAddr) -> Option<Upstream> {
         let now = Instant::now();
         let idle = self.idle.get_mut(&address)?;
@@ -210,7 +210,7 @@
         None
     }
 
-    /// Keeps a connection that stays open for `idle` after its last answer.
+    /// Pools a connection that the endpoint keeps open for `idle`, if it announced a time.
     pub(crate) fn put(&mut self, address: SocketAddr, upstream: Upstream, idle: Option<Duration>) {
         let time = idle.map_or(IDLE_MAX, |i| i.saturating_sub(IDLE_MARGIN));
         let until = Instant::now() + time.min(IDLE_MAX);
@@ -220,7 +220,7 @@
         }
     }
 
-    /// Closes connections that were idle for too long.
+    /// Closes connections whose idle time has expired.
     pub(crate) fn expire(&mut self) {
         let now = Instant::now();
         self.idle.retain(|_, kept| {
