--- a/cornelstand/src/gateway/daemon.rs
+++ b/cornelstand/src/gateway/daemon.rs
@@ -1,4 +1,4 @@
-//! The process of a gateway: start, reload and stop.
+//! Process lifecycle of a gateway: start, settings reload and graceful shutdown.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -22,46 +22,46 @@
 use crate::gateway::{connection, peers_link};
 use crate::platform::settings::{SettingsFileError, read_settings};
 
-/// Port of the metrics address; the deploy file names it, too.
+/// Port of the metrics listener; the deploy file contains it as well.
 const METRICS_PORT: u16 = 9_464;
-/// Time between two looks at whether an endpoint got room.
+/// Period at which queued requests are checked against free capacity.
 const TICK: Duration = Duration::from_millis(8);
-/// Ticks after which the queue is served in any case: what engines have to read shrinks with time.
+/// Ticks after which the queue is served even without an event: load estimates fall with time.
 const QUEUE_TICKS: u32 = 4;
-/// Weight of one more tick in the lateness of timers: about the last 200 ms.
+/// Weight of a tick in the moving average of timer lag; averages over about 200 ms.
 const LAG_WEIGHT: f64 = 0.06;
-/// Weight of one more tick in the rate of requests: about the last second.
+/// Weight of a tick in the moving average of the request rate; averages over about 1 s.
 const RATE_WEIGHT: f64 = 0.008;
-/// Time between two clean-ups.
+/// Period at which expired state is removed.
 const CLEAN_PERIOD: Duration = Duration::from_millis(500);
-/// Time between two looks at the settings file, which may change without a signal.
+/// Period at which the settings file is read again, since it may change without a SIGHUP.
 const RELOAD_PERIOD: Duration = Duration::from_secs(2);
-/// Time after a stop signal for which new connections still come: the balancer asks once a second
-/// and takes an instance out after two misses.
+/// Shortest time from a stop signal to the exit: the load balancer checks readiness once a second
+/// and removes an instance after two failures, so new connections still arrive.
 const STOP_ACCEPT: Duration = Duration::from_millis(3_200);
-/// Time after a stop signal from which new streams are refused: by then the balancer sends the
-/// next try to another instance.
+/// Time after a stop signal from which new streams are refused: by then the load balancer sends
+/// retries to another instance.
 const STOP_STREAMS: Duration = Duration::from_millis(2_300);
-/// Time before the end of the grace time at which the process ends with answers still open.
+/// Part of the grace period reserved for the exit itself; responses still open are cut.
 const GRACE_MARGIN: Duration = Duration::from_millis(500);
-/// Longest time to remove this instance's entry from the store when it stops.
+/// Time limit to remove this instance's entry from the store at shutdown.
 const DEREGISTER_TIMEOUT: Duration = Duration::from_secs(2);
-/// Time before the end of the process from which all new requests are refused: calls take less.
+/// Time before the end of the grace period from which all requests are refused; calls take less.
 const STOP_CALLS: Duration = Duration::from_millis(1_500);
-/// Pause between two looks at whether all answers have ended.
+/// Period at which shutdown checks whether all requests have ended.
 const STOP_PAUSE: Duration = Duration::from_millis(20);
 
-/// Error at the start of a gateway.
+/// Error while a gateway starts.
 #[derive(Debug, Snafu)]
 pub enum GatewayError {
-    /// The settings cannot be used.
+    /// The settings are invalid.
     #[snafu(display("{source}"))]
     GatewaySettings {
-        /// What is wrong.
+        /// Cause.
         #[snafu(source(from(SettingsFileError, Box::new)))]
         source: Box<dyn std::error::Error + Send + Sync>,
     },
-    /// An address cannot be listened at.
+    /// Binding a listener failed.
     #[snafu(display("cannot listen at {address}: {source}"))]
     Bind {
         /// The address.
@@ -69,25 +69,25 @@
         /// Error of the system.
         source: std::io::Error,
     },
-    /// The process cannot be set up.
+    /// Setting up the process failed.
     #[snafu(display("cannot set up the process: {source}"))]
     SetUp {
         /// Error of the system.
         source: std::io::Error,
     },
-    /// A metric is defined twice.
+    /// Registering the metrics failed.
     #[snafu(display("cannot define metrics: {source}"))]
     Metrics {
-        /// Error of the library.
+        /// Error of the `prometheus` library.
         source: prometheus::Error,
     },
 }
 
-/// Runs one instance with the settings at `path` until it is told to stop.
+/// Runs one instance with the settings at `path` until SIGTERM or SIGINT.
 ///
 /// # Errors
 ///
-/// Fails if the settings are not valid or an address cannot be listened at.
+/// Fails if the settings are invalid, an address cannot be bound or the process setup fails.
 pub(crate) fn run_gateway(path: &str, level: &str) -> Result<(), GatewayError> {
     let logs = LogBuffer::default();
     start_logs(&logs, level);
@@ -166,7 +166,7 @@
                     Role::Control,
                 )));
             }
-            // Callers are served without it.
+            // Callers can be served without the control listener.
             Err(error) => tracing::warn!(event = "control_unavailable", %error),
         }
     }
@@ -205,8 +205,7 @@
     listener.context(BindSnafu { address })
 }
 
-/// Gives places to requests as the estimates of load fall with time, and measures how late timers
-/// are.
+/// Serves the queue as load estimates fall with time, and measures timer lag and the request rate.
 async fn tick(gate: Rc<Gate>) {
     let mut before = gate.metrics.requests.get();
     let mut ticks = 0_u32;
@@ -255,7 +254,7 @@
     }
 }
 
-/// Takes in changes of the settings file.
+/// Applies changes of the settings file, after a SIGHUP at once.
 async fn reload(gate: Rc<Gate>, path: String, mut hangup: Signal) {
     loop {
         let is_asked = timeout(RELOAD_PERIOD, hangup.recv()).await.is_ok();
@@ -272,7 +271,7 @@
     }
 }
 
-/// Stops without cutting answers, as far as the grace time allows.
+/// Shuts down; open responses may complete within the grace period.
 async fn stop(gate: &Rc<Gate>, peers: &UdpSocket) {
     let started = Instant::now();
     let grace = gate.settings.borrow().grace.saturating_sub(GRACE_MARGIN);
