--- a/cornelstand/src/gateway/admin.rs
+++ b/cornelstand/src/gateway/admin.rs
@@ -1,4 +1,4 @@
-//! Readiness for the balancer, and metrics and beliefs for operators and peers.
+//! Readiness endpoint for the load balancer, and metrics and state for operators and peers.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -13,21 +13,21 @@
 use crate::gateway::outlet::write_all;
 use crate::gateway::upstream::read_into;
 
-/// Largest head of a question, in bytes.
+/// Largest request head, in bytes.
 const HEAD_BYTES: usize = 8 * 1024;
-/// Longest time until the next question on a connection is complete.
+/// Time limit for the next request on a connection.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// What a listener answers.
+/// Pages that a listener serves.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub(crate) enum Role {
-    /// Whether callers should be sent here, whatever the path.
+    /// Readiness of the instance, at any path.
     Readiness,
-    /// Metrics and beliefs by path.
+    /// `/metrics`, and the instance's view of configuration and endpoints at `/beliefs`.
     Control,
 }
 
-/// Answers questions until the process ends.
+/// Accepts connections until the process ends.
 pub(crate) async fn accept(gate: Rc<Gate>, listener: TcpListener, role: Role) {
     loop {
         let stream = accepted(&listener).await;
