--- a/cornelstand/src/gateway/catalog.rs
+++ b/cornelstand/src/gateway/catalog.rs
@@ -1,4 +1,4 @@
-//! Configuration that is in force: routes, services, limits, client accounts and their keys.
+//! Active configuration: routes, services, limits, client accounts and their keys.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -9,56 +9,56 @@
 
 use crate::name::{AccountName, ServiceName};
 
-/// What a request of a route may do.
+/// How requests of a route may be retried and are answered.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, Hash, IsVariant, PartialEq, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub(crate) enum RouteKind {
-    /// May run more than once.
+    /// Idempotent calls, which may run more than once.
     Idempotent,
-    /// May run at most once.
+    /// Calls that may run at most once.
     Once,
-    /// Answered by a stream of events.
+    /// Requests answered by a stream of events.
     Stream,
 }
 
-/// A route: which requests it takes, and how they are served.
+/// A route: which requests it matches and how they are served.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub(crate) struct GatewayRoute {
     pub(crate) name: String,
     pub(crate) host: String,
-    /// Start of the paths, with a slash at both ends.
+    /// Path prefix, with a slash at both ends.
     pub(crate) prefix: String,
     pub(crate) kind: RouteKind,
-    /// Whether a stream may go on at another endpoint.
+    /// Whether another endpoint may resume a stream.
     pub(crate) resumable: bool,
-    /// Longest time to the end of the answer.
+    /// Time limit for the complete response.
     pub(crate) timeout: Duration,
-    /// Time to the answer, or to the first event, that callers expect.
+    /// Latency objective for the response, or for the first event of a stream.
     pub(crate) objective: Duration,
-    /// Longest pause between two events of a stream that callers expect.
+    /// Objective for the longest pause between two events of a stream.
     pub(crate) pause: Duration,
-    /// Most endpoints that one request may be sent to.
+    /// Most times that one request may be sent to an endpoint.
     pub(crate) attempts: u32,
-    /// Services with their weights.
+    /// Target services with their weights.
     pub(crate) targets: Vec<(ServiceName, u32)>,
     /// Whether requests need no key.
     pub(crate) public: bool,
 }
 
-/// Shortest silence after which callers of a stream give up, as the platform states it.
+/// Shortest silence after which callers abandon a stream, according to the platform.
 const SILENCE_MIN: Duration = Duration::from_secs(2);
-/// The same in objectives and in expected pauses.
+/// The same limit as multiples of the route's latency objective and of its pause objective.
 const SILENCE_OBJECTIVES: u32 = 4;
 const SILENCE_PAUSES: u32 = 8;
 
 impl GatewayRoute {
-    /// Silence after which callers of a stream give up.
+    /// Silence after which callers abandon a stream: the largest of the three limits.
     pub(crate) fn silence(&self) -> Duration {
         let objectives = self.objective * SILENCE_OBJECTIVES;
         SILENCE_MIN.max(objectives).max(self.pause * SILENCE_PAUSES)
     }
 
-    /// Whether a request may be sent again after it may have run.
+    /// Whether a request that may have run may be sent again.
     pub(crate) fn is_repeatable(&self) -> bool {
         match self.kind {
             RouteKind::Idempotent => true,
@@ -67,7 +67,7 @@
         }
     }
 
-    /// Service for a request, spread by weight over `draw` in 0..1.
+    /// Selects a target service by weight, for a uniformly distributed `draw` in 0..1.
     pub(crate) fn target(&self, draw: f64) -> Option<&ServiceName> {
         let total: u32 = self.targets.iter().map(|(_, weight)| weight).sum();
         let mut left = draw * f64::from(total);
@@ -81,14 +81,14 @@
     }
 }
 
-/// Engine behind a service that generates tokens.
+/// Inference engine of a service that generates tokens.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub(crate) struct EngineSpec {
-    /// Requests that run at once.
+    /// Most requests that run concurrently.
     pub(crate) slots: u32,
-    /// Tokens that fit its memory.
+    /// Capacity of the KV cache, in tokens.
     pub(crate) memory: f64,
-    /// Tokens in one event of a stream.
+    /// Tokens per stream event.
     pub(crate) stride: u32,
 }
 
@@ -96,28 +96,28 @@
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub(crate) struct GatewayService {
     pub(crate) name: ServiceName,
-    /// Connections that an endpoint accepts from all callers together.
+    /// Most connections that an endpoint accepts in total.
     pub(crate) connections: u32,
-    /// Requests a second that a cold endpoint bears; zero if there is no limit.
+    /// Requests per second that a cold endpoint can handle; zero for no limit.
     pub(crate) cold_rate: f64,
-    /// Time for which an endpoint is cold after it starts.
+    /// Warm-up time of an endpoint after its start.
     pub(crate) cold_time: Duration,
     pub(crate) engine: Option<EngineSpec>,
 }
 
-/// Limits of callers' requests.
+/// Limits on callers' requests.
 #[derive(Clone, Copy, Debug, Deserialize, PartialEq, Serialize)]
 pub(crate) struct RequestLimits {
     pub(crate) head_bytes: usize,
     pub(crate) body_bytes: usize,
-    /// Longest time until a head that has begun is complete.
+    /// Time limit for a request head, from its first byte.
     pub(crate) head_time: Duration,
-    /// Longest time between two requests on a connection.
+    /// Longest idle time between two requests, and between two reads of a body.
     pub(crate) idle_time: Duration,
 }
 
 impl Default for RequestLimits {
-    /// Until a configuration is known: small requests only, all of which are refused.
+    /// Limits until a configuration is known; all requests are refused until then.
     fn default() -> Self {
         Self {
             head_bytes: 16 * 1024,
@@ -136,7 +136,7 @@
     pub(crate) services: HashMap<ServiceName, GatewayService>,
     pub(crate) limits: RequestLimits,
     pub(crate) keys: HashMap<String, AccountName>,
-    /// Whether requests need keys at all.
+    /// Whether requests to routes that are not public need a key.
     pub(crate) keyed: bool,
     /// Routes by host, longest prefix first.
     #[serde(skip)]
@@ -147,7 +147,7 @@
 }
 
 impl Catalog {
-    /// Indexes the routes, when the configuration is put in force.
+    /// Builds the indexes over the routes, before the configuration becomes active.
     pub(crate) fn index(mut self) -> Self {
         let mut hosts: HashMap<String, Vec<Arc<GatewayRoute>>> = HashMap::new();
         for route in &self.routes {
@@ -174,7 +174,7 @@
         self.objectives.get(service).copied().unwrap_or_default()
     }
 
-    /// Route with the longest prefix of `path` among those of `host`.
+    /// Finds the route of `host` with the longest prefix that matches `path`.
     pub(crate) fn route(&self, host: &str, path: &str) -> Option<&Arc<GatewayRoute>> {
         let host = host.rsplit_once(':').map_or(host, |(name, _)| name);
         let routes = match self.hosts.get(host) {
