--- a/cornelstand/src/gateway/logs.rs
+++ b/cornelstand/src/gateway/logs.rs
@@ -1,7 +1,7 @@
-//! Log lines without waiting: JSON on standard output, written by a thread of its own.
+//! Non-blocking logging: a separate thread writes JSON lines to standard output.
 //!
-//! Lines are gathered and written a few times a second. When the reader of standard output is too
-//! slow, lines are dropped and counted; the count is logged when there is room again.
+//! Lines are buffered and written several times a second. If the reader of standard output is too
+//! slow, lines are dropped and counted; the count is logged with the next write.
 
 use std::io::{self, Write};
 use std::sync::{Arc, Mutex, PoisonError};
@@ -9,9 +9,9 @@
 
 use tracing_subscriber::fmt::MakeWriter;
 
-/// Most bytes that wait to be written.
+/// Size limit of the buffer, in bytes.
 const BUFFER_BYTES: usize = 1024 * 1024;
-/// Time between two writes; a line is at most this late.
+/// Period of writes, and thus the longest delay of a line.
 const WRITE_PERIOD: Duration = Duration::from_millis(100);
 
 #[derive(Debug, Default)]
@@ -20,12 +20,12 @@
     dropped: u64,
 }
 
-/// Where log lines go.
+/// Shared buffer of log lines.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct LogBuffer(Arc<Mutex<Buffer>>);
 
 impl LogBuffer {
-    /// Writes what was gathered to `output`.
+    /// Writes the buffered lines to `output`.
     pub(crate) fn flush(&self, output: &mut impl Write) -> io::Result<()> {
         let mut buffer = self.0.lock().unwrap_or_else(PoisonError::into_inner);
         let lines = std::mem::take(&mut buffer.lines);
@@ -47,7 +47,7 @@
         let write = move || {
             loop {
                 std::thread::sleep(WRITE_PERIOD);
-                // Nobody is left to be told that standard output is closed.
+                // Standard output is closed, so the error cannot be logged.
                 if buffer.flush(&mut io::stdout()).is_err() {
                     return;
                 }
