--- a/cornelstand/src/gateway/metrics.rs
+++ b/cornelstand/src/gateway/metrics.rs
@@ -1,16 +1,16 @@
-//! Counters and histograms of a gateway, with handles looked up once.
+//! Prometheus metrics of a gateway, with handles registered once at start.
 
 use prometheus::{
     Encoder, Histogram, HistogramOpts, IntCounter, IntCounterVec, IntGauge, Opts, Registry,
     TextEncoder,
 };
 
-/// Bounds of latency histograms, in seconds, around the objectives of 0.1 to 0.8 s.
+/// Buckets of latency histograms, in seconds, around the latency objectives of 0.1 to 0.8 s.
 const SECONDS: [f64; 13] = [
     0.002, 0.005, 0.01, 0.025, 0.05, 0.1, 0.2, 0.4, 0.8, 1.6, 3.2, 6.4, 15.0,
 ];
 
-/// All metrics.
+/// Handles of all metrics.
 #[derive(Debug)]
 pub(crate) struct GatewayMetrics {
     registry: Registry,
@@ -20,9 +20,9 @@
     pub(crate) losses: IntCounter,
     pub(crate) store_calls: IntCounterVec,
     pub(crate) beats: IntCounter,
-    /// Changes of what is held against requests, by where they come from.
+    /// Changes to the crash suspicions against requests, by source.
     pub(crate) suspicions: IntCounterVec,
-    /// Recent suspicions that a message had no room for.
+    /// Recent suspicions that did not fit into a message.
     pub(crate) untold: IntCounter,
     pub(crate) connections: IntGauge,
     pub(crate) waiting: IntGauge,
@@ -31,7 +31,7 @@
     pub(crate) queue_time: Histogram,
     pub(crate) first_time: Histogram,
     pub(crate) whole_time: Histogram,
-    /// How late the process's own timers are.
+    /// Lag of the process's timers.
     pub(crate) lag: Histogram,
 }
 
@@ -106,11 +106,11 @@
         })
     }
 
-    /// All metrics as text.
+    /// Encodes all metrics in the Prometheus text format.
     ///
     /// # Errors
     ///
-    /// Fails if a metric cannot be written.
+    /// Fails if a metric cannot be encoded.
     pub(crate) fn text(&self) -> Result<Vec<u8>, prometheus::Error> {
         let mut text = Vec::new();
         TextEncoder::new().encode(&self.registry.gather(), &mut text)?;
