--- a/cornelstand/src/gateway/settings.rs
+++ b/cornelstand/src/gateway/settings.rs
@@ -1,4 +1,4 @@
-//! Settings of a gateway, whatever file they were read from.
+//! Settings of a gateway, independent of the file format.
 
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
@@ -14,37 +14,36 @@
     pub(crate) instance: InstanceName,
     pub(crate) centre: CentreName,
     pub(crate) centres: BTreeSet<CentreName>,
-    /// Address for callers.
+    /// Listen address for callers.
     pub(crate) callers: SocketAddr,
-    /// Address at which the balancer asks whether the instance takes callers.
+    /// Listen address of the load balancer's readiness check.
     pub(crate) readiness: SocketAddr,
-    /// Address for operators and peers, if there is one.
+    /// Listen address for operators and peers, if any.
     pub(crate) control: Option<SocketAddr>,
-    /// Ports for messages between instances.
+    /// UDP ports for messages between instances.
     pub(crate) peer_ports: RangeInclusive<u16>,
-    /// Control addresses of a few instances, which may be stale.
+    /// Control addresses of some instances; may be outdated.
     pub(crate) seeds: Vec<SocketAddr>,
     /// Address of the platform's store.
     pub(crate) store: SocketAddr,
-    /// Time between a stop signal and the end of the process.
+    /// Grace period between a stop signal and the end of the process.
     pub(crate) grace: Duration,
-    /// Time after which the platform holds an instance that could not reach the store for informed
-    /// again.
+    /// Time after which the platform expects an instance that had lost the store to be up to date.
     pub(crate) contact: Duration,
     pub(crate) retry: RetryRule,
-    /// Part of the stated rate that a cold endpoint bears.
+    /// Factor on a service's configured rate for cold endpoints.
     pub(crate) cold_over: f64,
-    /// Requests beyond that rate that it bears.
+    /// Requests that a cold endpoint can handle beyond that rate.
     pub(crate) cold_slack: f64,
-    /// Processor cores of the instance.
+    /// CPU cores of the instance; may be a fraction.
     pub(crate) cores: f32,
-    /// Most file descriptors of the process.
+    /// File descriptor limit of the process.
     pub(crate) descriptors: usize,
-    /// Memory of the process, in bytes.
+    /// Memory limit of the process, in bytes.
     pub(crate) memory: usize,
 }
 
-/// Address at which this instance takes messages.
+/// UDP address at which this instance receives messages from other instances.
 pub(crate) fn peer_address(settings: &GatewaySettings) -> SocketAddr {
     SocketAddr::new(settings.callers.ip(), *settings.peer_ports.start())
 }
