--- a/cornelstand/src/platform/mod.rs
+++ b/cornelstand/src/platform/mod.rs
@@ -1,14 +1,14 @@
-//! The users' platform: its settings file, headers, objects and store, in the product's types.
+//! Adapters to the platform: its settings file, HTTP headers, store objects and store client.
 //!
-//! Only translation lives here. Names on the wire are decoded once, into types whose fields say
-//! what they hold; nothing outside this folder knows them.
+//! The modules only translate: names on the wire are decoded into the gateway's types here and do
+//! not occur in other modules.
 
 pub(crate) mod headers;
 pub(crate) mod objects;
 pub(crate) mod settings;
 pub(crate) mod store;
 
-/// Environment variable that names the settings file.
+/// Environment variable with the path of the settings file.
 pub(crate) const SETTINGS_VARIABLE: &str = "CORNELSTAND_CONFIG";
 
 #[cfg(test)]
