--- a/cornelstand/src/platform/headers.rs
+++ b/cornelstand/src/platform/headers.rs
@@ -1,4 +1,4 @@
-//! Headers of requests and answers on the platform.
+//! HTTP headers of requests and responses on the platform.
 
 use std::io::Write as _;
 use std::time::Duration;
@@ -11,39 +11,38 @@
 use crate::gateway::message::{Head, reason};
 use crate::gateway::notices::Notice;
 
-/// Identity of one try of a caller. The platform calls it an attempt; a caller that tries again
-/// sends a new one.
+/// Request ID, which the platform calls an attempt ID: a caller that retries sends a new one.
 const REQUEST_ID: &str = "x-cornelstand-attempt-id";
-/// Time that the caller waits, in milliseconds from when it sent the request.
+/// The caller's time limit, in milliseconds from when it sent the request.
 const DEADLINE: &str = "x-cornelstand-deadline-ms";
-/// Key of the caller's account.
+/// API key of the caller's account.
 const KEY: &str = "x-cornelstand-credential";
-/// Name of the account; set by the gateway only.
+/// Account name; set by the gateway only.
 const ACCOUNT: &str = "x-cornelstand-tenant";
-/// Identity of the endpoint that may run the request; others answer 421.
+/// Name of the endpoint that is to run the request; any other endpoint responds with 421.
 const EXPECTED: &str = "x-cornelstand-expect-instance";
-/// Prompt tokens and most generated tokens.
+/// Number of prompt tokens and limit of generated tokens, separated by a comma.
 const TOKENS: &str = "x-cornelstand-token-count";
-/// The caller's estimate of the generated tokens; often far off.
+/// The caller's estimate of the number of generated tokens; often inaccurate.
 const OUTPUT_HINT: &str = "x-cornelstand-length-hint";
-/// Parts of the prompt, as `ID:TOKENS` in order.
+/// Parts of the prompt in order, as a comma-separated list of `ID:TOKENS`.
 const PARTS: &str = "x-cornelstand-prompt-prefix";
 const LAST_EVENT: &str = "last-event-id";
-/// Receipt of the endpoint that answered.
+/// Stamp of the endpoint that produced the response.
 const STAMP: &str = "x-cornelstand-server-stamp";
-/// Says that the endpoint did not run the request.
+/// Present if the endpoint did not run the request.
 const NOT_RUN: &str = "x-cornelstand-not-executed";
-/// Says that the endpoint leaves; any other value than `1` says nothing.
+/// `1` if the endpoint is draining; other values are ignored.
 const LEAVING: &str = "server-leaving";
-/// Says for how many seconds the endpoint wants nothing from this instance; may be a fraction.
+/// Seconds for which the endpoint wants no requests from this instance; may be a fraction.
 const RETRY_AFTER: &str = "retry-after";
-/// Says how long an idle connection stays open, in seconds.
+/// `timeout=N`: an idle connection stays open for N seconds.
 const KEEP_ALIVE: &str = "keep-alive";
 
-/// Longest rest that is taken for meant, in seconds.
+/// Limit of the back-off that an endpoint can request, in seconds.
 const REST_MAX_S: f64 = 3_600.0;
 
-/// Headers that concern one connection only.
+/// Hop-by-hop headers.
 const CONNECTION_HEADERS: [&str; 10] = [
     "connection",
     "keep-alive",
@@ -57,7 +56,7 @@
     "expect",
 ];
 
-/// Headers that callers must not set, because the system does.
+/// Headers that are removed from callers' requests because only the system may set them.
 const SYSTEM_HEADERS: [&str; 9] = [
     ACCOUNT,
     EXPECTED,
@@ -70,7 +69,7 @@
     "kv-fetch",
 ];
 
-/// End-to-end headers that a `Connection` header cannot remove.
+/// End-to-end headers that are forwarded even if `Connection` lists them.
 const KEPT_HEADERS: [&str; 8] = [
     REQUEST_ID,
     "x-cornelstand-model",
@@ -82,19 +81,19 @@
     STAMP,
 ];
 
-/// What a request says of itself.
+/// Fields decoded from the headers of a request.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct CallFields {
     pub(crate) request: Bytes,
-    /// Time that the caller waits.
+    /// The caller's time limit.
     pub(crate) patience: Option<Duration>,
     pub(crate) key: Option<String>,
     pub(crate) prompt: Option<CallPrompt>,
-    /// Last event that the caller has of an earlier answer.
+    /// Identifier of the last event that the caller received of an earlier response.
     pub(crate) resumes: Option<Bytes>,
 }
 
-/// Prompt as its caller states it.
+/// Prompt size as stated by the caller.
 #[derive(Clone, Debug)]
 pub(crate) struct CallPrompt {
     input: u32,
@@ -104,7 +103,7 @@
 }
 
 impl CallPrompt {
-    /// What the prompt asks of an engine.
+    /// Estimates the prompt's load on `engine`.
     pub(crate) fn at_engine(&self, engine: &EngineSpec) -> Prompt {
         let hint = self.hint.unwrap_or(self.most);
         Prompt {
@@ -119,7 +118,7 @@
 ///
 /// # Errors
 ///
-/// Fails with a reason if the request has no identity or a header cannot be read.
+/// Fails with a reason if the request ID is missing or repeated, or the deadline is malformed.
 pub(crate) fn read_call(head: &Head) -> Result<CallFields, &'static str> {
     let mut ids = head.values(REQUEST_ID);
     let id = ids
@@ -164,18 +163,18 @@
     text.split(',').filter_map(part).collect()
 }
 
-/// What the gateway adds to a request that it passes on.
+/// Values that the gateway adds to a forwarded request.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Passing<'a> {
     pub(crate) endpoint: &'a str,
     pub(crate) account: Option<&'a str>,
-    /// Time that is left for the answer.
+    /// Time left until the deadline.
     pub(crate) left: Duration,
-    /// Last event that the caller has, if a stream goes on.
+    /// Identifier of the last event that the caller received, if a stream is resumed.
     pub(crate) resumes: Option<&'a [u8]>,
 }
 
-/// Writes the request that an endpoint gets.
+/// Writes the request as forwarded to an endpoint.
 pub(crate) fn write_request(out: &mut BytesMut, head: &Head, body: &[u8], passing: &Passing<'_>) {
     out.reserve(1024 + body.len());
     line(out, &[head.method(), " ", head.target(), " HTTP/1.1"]);
@@ -205,22 +204,22 @@
     out.put_slice(body);
 }
 
-/// What an answer of an endpoint says.
+/// Fields decoded from the headers of an endpoint's response.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct AnswerFields<'a> {
-    /// Request that it answers.
+    /// ID of the request that it answers.
     pub(crate) request: Option<&'a [u8]>,
     pub(crate) has_stamp: bool,
     pub(crate) not_run: bool,
-    /// The bytes are not those of the endpoint.
+    /// Whether the response has a `Content-Encoding`: its body is then not the endpoint's own.
     pub(crate) is_encoded: bool,
-    /// Time for which the connection may stay idle.
+    /// Time for which the endpoint keeps an idle connection open.
     pub(crate) idle: Option<Duration>,
-    /// What the endpoint says of itself.
+    /// The endpoint's notice about its own state.
     pub(crate) notice: Notice,
 }
 
-/// Reads the headers of an answer.
+/// Decodes the headers of a response.
 pub(crate) fn read_answer(head: &Head) -> AnswerFields<'_> {
     let request = head.values(REQUEST_ID).next().map(<[u8]>::trim_ascii);
     let idle = head.get(KEEP_ALIVE).and_then(|text| {
@@ -245,7 +244,7 @@
     }
 }
 
-/// Rest that an endpoint asks for; what is no time, or none at all, asks for nothing.
+/// Parses the back-off that an endpoint requests; none if it is malformed or zero.
 fn rest(text: &str) -> Option<Duration> {
     let Some(seconds) = text
         .parse()
@@ -262,17 +261,17 @@
     (!rest.is_zero()).then_some(rest)
 }
 
-/// How the body of an answer to a caller is framed.
+/// Framing of the body of a response to a caller.
 #[derive(Clone, Copy, Debug)]
 pub(crate) enum CallerFraming {
     Length(usize),
     Chunked,
     UntilClose,
-    /// No body follows, and the endpoint's own length stands.
+    /// No body follows, and the endpoint's `Content-Length` is kept.
     AsIs,
 }
 
-/// Writes the head of an endpoint's answer for a caller.
+/// Writes the head of an endpoint's response as forwarded to the caller.
 pub(crate) fn write_answer_head(
     out: &mut BytesMut,
     head: &Head,
@@ -297,7 +296,7 @@
     out.put_slice(b"\r\n");
 }
 
-/// Writes an answer of the gateway itself. It has no receipt.
+/// Writes a response generated by the gateway. It has no endpoint's stamp.
 pub(crate) fn write_own_answer(
     out: &mut BytesMut,
     request: &[u8],
@@ -328,7 +327,7 @@
     let _ = write!(writer, "HTTP/1.1 {status} {}\r\n", reason(status));
 }
 
-/// Whether a header goes to the other edge.
+/// Whether a header is forwarded; `Content-Length` is rewritten instead.
 fn is_passed_on(head: &Head, name: &str) -> bool {
     let is = |n: &&str| n.eq_ignore_ascii_case(name);
     if CONNECTION_HEADERS.iter().any(is) || name.eq_ignore_ascii_case("content-length") {
