--- a/cornelstand/src/platform/objects.rs
+++ b/cornelstand/src/platform/objects.rs
@@ -1,4 +1,4 @@
-//! Objects of the platform's store, decoded into the product's types.
+//! Decodes objects of the platform's store into the gateway's types.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -14,14 +14,14 @@
 use crate::gateway::directory::EndpointRecord;
 use crate::name::{AccountName, CentreName, EndpointName, ServiceName};
 
-/// Kinds of objects that the gateway reads.
+/// Kinds of store objects that the gateway reads.
 pub(crate) const CONFIG_KIND: &str = "config";
 pub(crate) const ENDPOINT_KIND: &str = "servers";
 pub(crate) const EVACUATION_KIND: &str = "evacuations";
-/// Kind of the fleet's own entries: one for each instance.
+/// Kind of the entries that the instances register themselves, one each.
 pub(crate) const INSTANCE_KIND: &str = "cornelstand-instances";
 
-/// One object.
+/// An object of the store.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 pub(crate) struct StoreObject {
     pub(crate) metadata: Metadata,
@@ -29,7 +29,7 @@
     pub(crate) spec: Value,
 }
 
-/// Fields that the store keeps of an object.
+/// Metadata that the store maintains for an object.
 #[derive(Clone, Debug, Default, Deserialize, Serialize)]
 #[serde(default)]
 pub(crate) struct Metadata {
@@ -37,13 +37,13 @@
     pub(crate) deleting: bool,
 }
 
-/// Entry of an instance.
+/// Registration of an instance.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 pub(crate) struct InstanceSpec {
-    /// Address for messages between instances.
+    /// UDP address for messages from other instances.
     pub(crate) peer: SocketAddr,
     pub(crate) centre: CentreName,
-    /// Processor cores.
+    /// CPU cores.
     pub(crate) cores: f32,
 }
 
@@ -65,7 +65,7 @@
     kind: KindSpec,
     timeout_ms: u64,
     target_latency_ms: u64,
-    /// Longest pause between two events.
+    /// Objective for the longest pause between two events.
     #[serde(default)]
     gap_aim_ms: u64,
     #[serde(default = "one")]
@@ -113,7 +113,7 @@
     stride: u32,
 }
 
-/// Limits of requests. `tokens_per_s` is not used: what engines do is measured.
+/// Limits on requests. `tokens_per_s` is ignored: the throughput of engines is measured instead.
 #[derive(Default, Deserialize)]
 #[serde(default)]
 struct LimitsSpec {
@@ -134,11 +134,11 @@
     1
 }
 
-/// Decodes the operator's configuration.
+/// Decodes the configuration written by operators.
 ///
 /// # Errors
 ///
-/// Fails if the configuration has another form.
+/// Fails if the configuration does not match the schema.
 pub(crate) fn read_config(spec: &Value) -> Result<Catalog, serde_json::Error> {
     let spec = ConfigSpec::deserialize(spec)?;
     let routes = spec.routes.into_iter().map(route).map(Arc::new);
@@ -231,11 +231,11 @@
     Draining,
 }
 
-/// Decodes the entry of an endpoint.
+/// Decodes an endpoint's entry.
 ///
 /// # Errors
 ///
-/// Fails if a field is missing or has another form, as in entries of other writers.
+/// Fails if a field is missing or malformed, as in entries by other writers.
 pub(crate) fn read_endpoint(object: &StoreObject) -> Result<EndpointRecord, serde_json::Error> {
     let spec = EndpointSpec::deserialize(&object.spec)?;
     Ok(EndpointRecord {
