--- a/cornelstand/src/platform/settings.rs
+++ b/cornelstand/src/platform/settings.rs
@@ -1,4 +1,4 @@
-//! The platform's settings file: lines of the form `a.b=value`, lists joined by commas.
+//! Parses the platform's settings file: lines of the form `a.b=value`, lists separated by commas.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -12,16 +12,16 @@
 use crate::gateway::settings::GatewaySettings;
 use crate::name::{CentreName, InstanceName};
 
-/// Settings that the platform states for each deployment; used if a file leaves one out.
+/// Defaults for settings missing from the file; the platform normally sets them per deployment.
 const DEFAULT_GRACE_S: f64 = 8.0;
 const DEFAULT_CONTACT_MS: f64 = 3_000.0;
 const DEFAULT_RETRY_RATIO: f64 = 0.2;
 const DEFAULT_RETRY_WINDOW_S: f64 = 10.0;
 const DEFAULT_COLD_OVER: f64 = 1.5;
-/// Bytes in a megabyte of the file.
+/// Bytes in a megabyte, as used in the file.
 const MEGABYTE: usize = 1024 * 1024;
 
-/// Error of a settings file.
+/// Error in a settings file.
 #[derive(Debug, Snafu)]
 pub(crate) enum SettingsFileError {
     /// The file cannot be read.
@@ -30,10 +30,10 @@
         path: String,
         source: std::io::Error,
     },
-    /// A setting is missing.
+    /// A required setting is missing.
     #[snafu(display("settings: {key} is missing"))]
     Missing { key: &'static str },
-    /// A setting has another form.
+    /// A setting is malformed.
     #[snafu(display("settings: {key} has the value {value:?}, which is not {expected}"))]
     Malformed {
         key: &'static str,
@@ -42,7 +42,7 @@
     },
 }
 
-/// Reads the file at `path`.
+/// Reads the settings file at `path`.
 ///
 /// # Errors
 ///
@@ -147,7 +147,7 @@
             .collect()
     }
 
-    /// The first and last port.
+    /// Parses an inclusive port range given as two ports.
     fn ports(&self, key: &'static str) -> Result<RangeInclusive<u16>, SettingsFileError> {
         let value = self.text(key)?;
         let expected = "two ports";
