--- a/cornelstand/src/platform/store.rs
+++ b/cornelstand/src/platform/store.rs
@@ -12,33 +12,33 @@
 use crate::gateway::upstream::{ReadError, Upstream};
 use crate::platform::objects::StoreObject;
 
-/// Longest time for a call that does not wait; the store answers in some milliseconds.
+/// Time limit for a call other than a watch; the store responds in some milliseconds.
 const CALL_TIMEOUT: Duration = Duration::from_millis(1_200);
-/// Longest time to open a connection.
+/// Time limit to open a connection.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(600);
-/// Slack of the store when a watch ends.
+/// Time that the store may take beyond the wait of a watch.
 const WATCH_SLACK: Duration = Duration::from_millis(600);
-/// Largest head of an answer, in bytes.
+/// Largest response head, in bytes.
 const HEAD_BYTES: usize = 16 * 1024;
-/// Largest body of an answer, in bytes; pages have about a megabyte.
+/// Largest response body, in bytes; a page of a list has about one megabyte.
 const BODY_BYTES: usize = 8 * 1024 * 1024;
 
-/// Error of a call.
+/// Error of a call to the store.
 #[derive(Debug, Snafu)]
 pub(crate) enum StoreCallError {
-    /// No answer. The call may have been carried out, or may be later.
+    /// No response. The store may have executed the call, or may still do so.
     #[snafu(display("no answer from the store: {reason}"))]
     NoAnswer { reason: String },
-    /// The store refused the call: too many calls, or it is not available.
+    /// The store refused the call: it is rate-limited, or the store is unavailable.
     #[snafu(display("the store refused the call with status {status}"))]
     Refused { status: u16 },
-    /// The history from the asked revision on is gone.
+    /// The history since the requested revision was compacted.
     #[snafu(display("the store has dropped the history that was asked for"))]
     HistoryGone,
-    /// There is an object of that name, or it has another revision.
+    /// The object already exists, or its revision differs.
     #[snafu(display("the object exists or was changed by others"))]
     Conflict,
-    /// The answer has another form.
+    /// The response does not match the schema.
     #[snafu(display("the store's answer cannot be read: {source}"))]
     Unreadable { source: serde_json::Error },
 }
@@ -71,7 +71,7 @@
 #[derive(Deserialize)]
 struct Changes {
     events: Vec<ChangeFields>,
-    /// Revision from which the next watch goes on.
+    /// Revision to pass to the next watch.
     as_of: u64,
 }
 
@@ -82,14 +82,14 @@
     deleted: bool,
 }
 
-/// A change of an object.
+/// A created, updated or deleted object.
 #[derive(Clone, Debug)]
 pub(crate) struct Change {
     pub(crate) object: StoreObject,
     pub(crate) is_deleted: bool,
 }
 
-/// A connection to the store, opened when it is needed.
+/// Store client with one connection, which is opened on demand.
 #[derive(Debug)]
 pub(crate) struct StoreClient {
     address: SocketAddr,
@@ -104,7 +104,7 @@
         }
     }
 
-    /// All objects of a kind, with the revision from which a watch goes on.
+    /// Lists all objects of a kind, with the revision at which to start a watch.
     ///
     /// # Errors
     ///
@@ -114,7 +114,7 @@
         kind: &str,
     ) -> Result<(Vec<StoreObject>, u64), StoreCallError> {
         let mut objects: Vec<StoreObject> = Vec::new();
-        // Changes between two pages are seen by a watch from the first page's revision.
+        // A watch from the first page's revision also covers changes between two pages.
         let mut revision = None;
         let mut after = String::new();
         loop {
@@ -137,11 +137,11 @@
         }
     }
 
-    /// Changes of a kind after `revision`, as soon as there is one or after `wait`.
+    /// Long-polls for changes of a kind after `revision`, for at most `wait`.
     ///
     /// # Errors
     ///
-    /// Fails if the history is gone or no answer comes.
+    /// Fails if the history was compacted or the call fails.
     pub(crate) async fn watch(
         &mut self,
         kind: &str,
@@ -162,7 +162,7 @@
         Ok((events, changes.as_of))
     }
 
-    /// Creates an object or replaces the one of that name, whatever its revision.
+    /// Creates an object or replaces an existing one, regardless of its revision.
     ///
     /// # Errors
     ///
@@ -182,11 +182,11 @@
         self.call("PUT", &path, &body, CALL_TIMEOUT).await.map(drop)
     }
 
-    /// Removes an object.
+    /// Deletes an object.
     ///
     /// # Errors
     ///
-    /// Fails if the store does not confirm it.
+    /// Fails if the store does not confirm the deletion.
     pub(crate) async fn delete(&mut self, kind: &str, name: &str) -> Result<(), StoreCallError> {
         let path = format!("/-/objects/{kind}/{name}");
         self.call("DELETE", &path, &[], CALL_TIMEOUT)
