--- a/cornelstand/src/platform/tests.rs
+++ b/cornelstand/src/platform/tests.rs
@@ -1,4 +1,4 @@
-//! What the platform writes and reads, byte by byte.
+//! Tests of the platform adapters and of the request path, at the level of bytes.
 
 mod crashes;
 mod endless;
