--- a/cornelstand/src/platform/tests/crashes.rs
+++ b/cornelstand/src/platform/tests/crashes.rs
@@ -1,4 +1,4 @@
-//! Requests that crash the endpoints that run them, over real connections.
+//! Containment of requests that crash endpoints, over loopback connections.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -17,7 +17,7 @@
 use crate::platform::tests::path::{ask, entry, local, request, status};
 use crate::platform::tests::scripted::{Endpoint, Step, accept, answer, read_request};
 
-/// Fingerprint of [`request`] for a path.
+/// Fingerprint of [`request`] for `path`.
 fn print(path: &str) -> Fingerprint {
     fingerprint(Some(&AccountName::from("ada")), path, b"body")
 }
@@ -57,7 +57,7 @@
     .await;
 }
 
-/// Endpoints that run a request and are down from then on, or answer it with a failure of their own.
+/// An endpoint that crashes for good on its first request, or sends `kind` as its response to it.
 async fn endpoint(kind: Option<&str>) -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("loopback");
     let address = listener.local_addr().expect("bound");
@@ -128,8 +128,8 @@
     .await;
 }
 
-/// An endpoint that loses its first connection and takes the next ones, as one does that starts again
-/// before the loss is noticed.
+/// An endpoint that drops its first connection and accepts later ones, as if it had crashed and
+/// restarted before the loss was detected.
 async fn reborn() -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("loopback");
     let address = listener.local_addr().expect("bound");
@@ -170,7 +170,7 @@
     .await;
 }
 
-/// An endpoint that every request ends, and that is back at its address 350 ms later.
+/// An endpoint that every request crashes, and that restarts at the same address 350 ms later.
 async fn fragile() -> SocketAddr {
     let mut listener = TcpListener::bind("127.0.0.1:0").await.expect("loopback");
     let address = listener.local_addr().expect("bound");
