--- a/cornelstand/src/platform/tests/endless.rs
+++ b/cornelstand/src/platform/tests/endless.rs
@@ -1,4 +1,4 @@
-//! Bytes that never end, from endpoints and from callers: in a head, in a body, and slowly.
+//! Input without end, from endpoints and from callers: in a head, in a body, fast and slowly.
 
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -16,11 +16,11 @@
     Endpoint, PATIENCE, Step, answer, chunk, event, stream_head,
 };
 
-/// Most memory that a flood may take, in bytes; twice the largest answer that is held.
+/// Memory bound under a flood, in bytes; twice the largest response that is buffered.
 const MEMORY: usize = 32 * 1024 * 1024;
 
-/// An endpoint on a thread of its own: it answers each request with `start`, and then `filler`
-/// without end, as fast as it is read.
+/// An endpoint on a separate thread that responds to each request with `start`, followed by
+/// `filler` repeated without end, as fast as it is read.
 fn flood(start: String, filler: &'static str) -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").expect("loopback");
     let address = listener.local_addr().expect("bound");
@@ -128,7 +128,7 @@
         .await
         .expect("accepted");
     let (mut server, _) = listener.accept().expect("a connection");
-    // The runtime has seen the connection silent before it is paused.
+    // The runtime caches that the connection is not readable, as before a pause of the process.
     assert!(upstream.stream.try_read(&mut [0]).is_err());
     let mut pool = Pool::default();
     pool.put(address, upstream, None);
@@ -195,8 +195,8 @@
     .await;
 }
 
-/// A stream whose events come more slowly than the shortest silence that callers bear, on a route
-/// with long pauses.
+/// The pause between the events exceeds the shortest silence limit, but the route's pause objective
+/// allows for it.
 #[tokio::test]
 async fn a_slow_stream_of_a_route_with_long_pauses_is_not_cut() {
     local(async {
@@ -262,7 +262,7 @@
     .await;
 }
 
-/// Sends until the entry closes.
+/// Sends until the gateway closes the connection.
 fn pour_from(mut stream: TcpStream, start: &str, filler: &str) {
     let filler = filler.repeat(16 * 1024 / filler.len());
     let mut is_open = stream.write_all(start.as_bytes()).is_ok();
@@ -292,7 +292,7 @@
                     break;
                 }
                 () = sleep(Duration::from_millis(50)) => {
-                    // The entry may have closed by then.
+                    // The gateway may have closed the connection by then.
                     let _ = stream.write_all(b"x").await;
                 }
             }
