--- a/cornelstand/src/platform/tests/notices.rs
+++ b/cornelstand/src/platform/tests/notices.rs
@@ -1,4 +1,4 @@
-//! What endpoints say of themselves in their answers: that they leave, or that they want a rest.
+//! Notices of endpoints in their responses: that they are draining, or request a back-off.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -16,13 +16,13 @@
 
 const LEAVING: &str = "Server-Leaving: 1\r\n";
 
-/// Scripts that answer the requests `ids`, one on each connection, with `extra` headers.
+/// Scripts that respond to the requests `ids`, one per connection, with `extra` headers.
 fn answers(ids: &[&str], extra: &str) -> Vec<Vec<Step>> {
     let script = |id: &&str| vec![Step::Read, Step::Write(answer(id, extra, "done"))];
     ids.iter().map(script).collect()
 }
 
-/// A refusal without a run that asks for a rest.
+/// A script that refuses a request without running it and requests a back-off of `rest` seconds.
 fn refusal(id: &str, rest: &str) -> Vec<Step> {
     let text = format!(
         "HTTP/1.1 503 Full\r\nX-Cornelstand-Attempt-Id: {id}\r\nX-Cornelstand-Not-Executed: 1\r\n\
@@ -64,7 +64,7 @@
         let (gate, address, near, far) = near_and_far(near, far).await;
         ask(address, &request("/book/1", "a1")).await;
         assert_eq!(status(&ask(address, &request("/book/1", "a2")).await), "200");
-        // The store goes on to call it ready, or forgets it for a while.
+        // The store drops the endpoint and then lists it as ready again.
         list(&gate, pair(&near, &far, 1)[1..].to_vec());
         list(&gate, pair(&near, &far, 1));
         assert_eq!(status(&ask(address, &request("/book/1", "a3")).await), "200");
@@ -98,7 +98,7 @@
             started.elapsed() < Duration::from_millis(100),
             "refused at once"
         );
-        // The running stream ends as it would have.
+        // The running stream is not affected.
         let text = stream.await.expect("a caller");
         assert!(text.ends_with("0\r\n\r\n"), "{text}");
         drop(gate);
@@ -128,7 +128,7 @@
         let near = [vec![refusal("a1", "1.2")], answers(&["a3"], "")].concat();
         let far = answers(&["a1", "a2"], "");
         let (gate, address, near, far) = near_and_far(near, far).await;
-        // The refused call moves on at once.
+        // The refused call is retried at the other endpoint at once.
         let started = Instant::now();
         assert_eq!(
             status(&ask(address, &request("/stock/1", "a1")).await),
@@ -198,7 +198,7 @@
     .await;
 }
 
-/// The engine is busy, and nobody rests: the time to come back is that of the account.
+/// The engine is busy and requested no back-off, so `Retry-After` follows from the account's load.
 #[tokio::test]
 async fn a_request_that_waited_in_vain_is_not_sent_back_at_once() {
     local(async {
@@ -224,7 +224,7 @@
             .nth(1)
             .and_then(|t| t.split("\r\n").next());
         let after: f64 = after.and_then(|a| a.parse().ok()).expect("a time");
-        // The shortest time to come back, not that of a rest that nobody asked for.
+        // The minimum for a full queue; the shorter one applies to back-offs only.
         assert!(after >= 0.05, "{after}");
     })
     .await;
