--- a/cornelstand/src/platform/tests/path.rs
+++ b/cornelstand/src/platform/tests/path.rs
@@ -1,4 +1,4 @@
-//! The way of a request over real connections, between a scripted caller and scripted endpoints.
+//! The request path over loopback connections, between a test caller and scripted endpoints.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -17,12 +17,12 @@
     Endpoint, PATIENCE, Step, answer, chunk, event, read_request, stream_head,
 };
 
-/// Runs a test whose tasks stay on its thread.
+/// Runs a test in a `LocalSet`, since the gateway spawns local tasks.
 pub(super) async fn local(test: impl Future<Output = ()>) {
     LocalSet::new().run_until(test).await;
 }
 
-/// An instance that listens for callers.
+/// Starts a listener for callers and returns its address.
 pub(super) async fn entry(gate: &Rc<Gate>) -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("loopback");
     let address = listener.local_addr().expect("bound");
@@ -44,13 +44,13 @@
         .expect("the entry listens")
 }
 
-/// Sends a request that asks for the connection's close and reads all that comes.
+/// Sends a request with `Connection: close` and reads the response until the connection ends.
 pub(super) async fn ask(address: SocketAddr, request: &str) -> String {
     let request = request.replacen("Host:", "Connection: close\r\nHost:", 1);
     let mut stream = connect(address).await;
     stream.write_all(request.as_bytes()).await.expect("sent");
     let mut text = Vec::new();
-    // A reset ends what was read.
+    // After a reset, the bytes read so far are the response.
     let _ = timeout(PATIENCE, stream.read_to_end(&mut text))
         .await
         .expect("an end");
@@ -61,7 +61,7 @@
     answer.split(' ').nth(1).unwrap_or("none")
 }
 
-/// An entry with two endpoints of the orders; the one of its own data centre comes first.
+/// Starts a gateway with two `orders` endpoints; the one in its own data centre is preferred.
 pub(super) async fn with_near_and_far(near: SocketAddr, far: SocketAddr) -> (Rc<Gate>, SocketAddr) {
     let mut record_far = record("o-2", ORDERS, far);
     record_far.centre = "south".into();
@@ -281,7 +281,7 @@
     .await;
 }
 
-/// An entry with one engine under two names, whose connections play the scripts in order.
+/// Starts a gateway with one engine under two names, whose connections run the scripts in order.
 async fn with_two_names(scripts: Vec<Vec<Step>>) -> (Rc<Gate>, SocketAddr, Endpoint) {
     let engine = Endpoint::start(scripts).await;
     let records = ["m-0", "m-1"].map(|name| record(name, MODELS, engine.address));
@@ -384,7 +384,7 @@
             fault,
         ];
         let rest = stream_head("a1") + &chunk(&event(2)) + &chunk(&event(3)) + "0\r\n\r\n";
-        // Either engine may come first; the second request of the pair resumes.
+        // Either name may be selected first; the second connection resumes the stream.
         let scripts = vec![broken, vec![Step::Read, Step::Write(rest)]];
         let (_gate, address, listener) = with_two_names(scripts).await;
         let text = ask(address, &request("/quote/1", "a1")).await;
@@ -542,7 +542,7 @@
         let asked =
             tokio::task::spawn_local(async move { ask(address, &request("/quote/1", "a1")).await });
         sleep(Duration::from_millis(150)).await;
-        // Its entry and all others are gone, as after heartbeats that came too late.
+        // The store lists no endpoint any more, as after late heartbeats.
         list(&gate, Vec::new());
         let text = asked.await.expect("a caller");
         assert!(
