--- a/cornelstand/src/platform/tests/scripted.rs
+++ b/cornelstand/src/platform/tests/scripted.rs
@@ -1,4 +1,4 @@
-//! Endpoints that play a script on each connection.
+//! Test endpoints that run a script on each connection.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -8,16 +8,16 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::time::sleep;
 
-/// Longest wait of a test for anything; far beyond what loopback takes.
+/// Time limit for any wait in a test; far above the latency of loopback.
 pub(crate) const PATIENCE: Duration = Duration::from_secs(20);
 
-/// What an endpoint does with one connection.
+/// A step of the script for one connection.
 #[derive(Clone, Debug)]
 pub(crate) enum Step {
-    /// Reads a whole request.
+    /// Reads a complete request.
     Read,
     Write(String),
-    /// Waits until the peer closes.
+    /// Waits until the peer closes the connection.
     AwaitClose,
     Pause(u64),
     /// Resets the connection.
@@ -47,7 +47,7 @@
     format!("id: {number}\ndata: piece {number}\n\n")
 }
 
-/// An endpoint that plays one script a connection and keeps the requests it read.
+/// An endpoint that runs one script per connection and records the requests it read.
 pub(crate) struct Endpoint {
     pub(crate) address: SocketAddr,
     pub(crate) requests: Rc<std::cell::RefCell<Vec<String>>>,
@@ -79,7 +79,7 @@
     }
 }
 
-/// The next connection on which something is sent; probes are passed over.
+/// Accepts the next connection that carries data; skips probes, which send none.
 pub(crate) async fn accept(listener: &TcpListener) -> TcpStream {
     loop {
         let (stream, _) = listener.accept().await.expect("accept");
