--- a/cornelstand/src/platform/tests/wire.rs
+++ b/cornelstand/src/platform/tests/wire.rs
@@ -1,4 +1,4 @@
-//! The platform's files, headers and objects as the product reads and writes them.
+//! Parsing and encoding of the platform's settings, headers and objects.
 
 use std::time::Duration;
 
