--- a/cornelstand/tests/gateway/main.rs
+++ b/cornelstand/tests/gateway/main.rs
@@ -1,4 +1,4 @@
-//! The gateway as real processes beside stand-ins of the platform.
+//! Integration tests: gateway processes against stand-ins for the platform's store and endpoints.
 
 mod crashes;
 mod platform;
@@ -50,7 +50,7 @@
         world.await_ready(i, true).await;
     }
     world.configure(5, true);
-    // The platform's bound for a configuration to be in force.
+    // Time within which the platform requires a new configuration to be active.
     sleep(Duration::from_secs(2)).await;
     for i in 0..2 {
         let (status, _) = world
@@ -68,7 +68,7 @@
     sleep(Duration::from_secs(2)).await;
     let (status, _) = world.ask(0, "/book/1", "k-1").await.expect("an answer");
     assert_eq!(status, 401);
-    // The history is gone, and an older configuration is written by mistake.
+    // The store compacts its history, and an older configuration is written by mistake.
     world.store.compact();
     world.configure(3, true);
     sleep(Duration::from_secs(2)).await;
@@ -112,11 +112,11 @@
     }
 }
 
-/// What became of one request on a connection of its caller.
+/// Outcome of one request on a caller's connection.
 enum Fate {
-    /// The head of an answer came, and whether it closes the connection.
+    /// A complete response was read; `closes` if it has `Connection: close`.
     Answered { closes: bool },
-    /// The connection ended before any byte of an answer.
+    /// The connection ended before a complete response.
     Unanswered,
 }
 
@@ -151,7 +151,7 @@
     }
 }
 
-/// Callers that keep their connections and go on until the process is gone.
+/// Callers use keep-alive connections and go on until the process refuses new ones.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_stop_under_load_leaves_no_request_that_ran_without_its_answer() {
     let mut world = World::start(1);
@@ -160,7 +160,7 @@
     let callers = (0..16).map(|caller| {
         tokio::spawn(async move {
             let (mut answered, mut unanswered) = (0, Vec::new());
-            // A refused connection means that the process is gone.
+            // A refused connection means that the process has ended.
             while let Ok(mut stream) = TcpStream::connect(front).await {
                 loop {
                     let id = format!("{caller}-{}", answered + unanswered.len());
@@ -210,7 +210,7 @@
         assert!(matches!(before, Fate::Answered { closes: false }));
         world.instances[0].signal(Signal::STOP);
         sleep(Duration::from_millis(1_300)).await;
-        // The request waits at the instance beside the change when that goes on.
+        // When the instance resumes, it finds the request and the configuration change together.
         let id = format!("p-{round}");
         stream.write_all(call(&id).as_bytes()).await.expect("sent");
         world.configure(version, false);
@@ -295,7 +295,7 @@
     let world = World::start(1);
     world.await_ready(0, true).await;
     world.list("o-1", "draining");
-    // The platform's bound for an endpoint that leaves.
+    // Time within which the platform requires instances to stop using a draining endpoint.
     sleep(Duration::from_secs(2)).await;
     let before = world.endpoints["o-1"].runs().len();
     for i in 0..20 {
