--- a/cornelstand/tests/gateway/soak.rs
+++ b/cornelstand/tests/gateway/soak.rs
@@ -1,9 +1,9 @@
-//! A randomized soak: callers keep asking while processes are killed, paused, stopped and started,
-//! the store fails in its ways, and endpoints crash, refuse and cut their answers.
+//! Randomized soak test: callers send requests while instances are killed, paused and restarted,
+//! the store is faulty, and endpoints crash, refuse requests and truncate responses.
 //!
-//! What is checked is what callers and endpoints see: a call that may not be repeated runs at most
-//! once, a refusal is true, and every answer is the caller's own and whole. `CORNELSTAND_SOAK_SEED`
-//! and `CORNELSTAND_SOAK_SECONDS` choose another run.
+//! It checks what callers and endpoints observe: a non-idempotent call runs at most once, a refused
+//! one never runs, and every successful response is complete and belongs to its request.
+//! `CORNELSTAND_SOAK_SEED` and `CORNELSTAND_SOAK_SECONDS` set the seed and the duration.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -22,16 +22,16 @@
 
 const INSTANCES: u8 = 3;
 const CALLERS: usize = 6;
-/// Seeds that have failed, with their causes, and one that is always played.
+/// Seeds that always run: one default, and any that has failed, with its cause.
 const SEEDS: [u64; 1] = [1];
 
-/// What a caller heard of a request.
+/// Result of a request as its caller observed it.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 enum Heard {
     Served,
-    /// Promised not to have run.
+    /// Refused with a status that promises that it did not run.
     Refused,
-    /// A failure, or no answer.
+    /// Failed, or no response: it may have run.
     Unknown,
 }
 
@@ -109,7 +109,7 @@
     heard
 }
 
-/// Harms the world in series that overlap.
+/// Injects random faults, which may overlap.
 async fn harm(world: &RwLock<World>, seed: u64, length: Duration) {
     let mut rng = ChaCha8Rng::seed_from_u64(seed);
     let until = Instant::now() + length;
