--- a/cornelstand/tests/gateway/platform/mod.rs
+++ b/cornelstand/tests/gateway/platform/mod.rs
@@ -1,5 +1,5 @@
-//! Real processes of the gateway beside stand-ins of the platform's store and its endpoints, each
-//! world on loopback addresses of its own.
+//! Test environment: gateway processes with stand-ins for the platform's store and endpoints. Each
+//! [`World`] has its own loopback addresses.
 
 use std::collections::BTreeMap;
 use std::fs::File;
@@ -14,19 +14,19 @@
 use stand_ins::{EndpointSettings, PlatformEndpoint, PlatformStore};
 use tokio::time::{Instant, sleep};
 
-/// Longest wait for anything; far beyond what the processes take.
+/// Time limit for any wait; far above what the processes need.
 pub(crate) const PATIENCE: Duration = Duration::from_secs(30);
 pub(crate) const KEY: &str = "key-a";
 pub(crate) const EVENTS: u32 = 12;
 
-/// Data centres of a world with several.
+/// Names of the data centres.
 pub(crate) const CENTRES: [&str; 3] = ["north", "south", "west"];
-/// Time until an endpoint is back that a request has ended.
+/// Time until an endpoint restarts after a request crashed it.
 pub(crate) const DOWN: Duration = Duration::from_millis(800);
 
 static WORLDS: AtomicU8 = AtomicU8::new(1);
 
-/// One instance of the gateway.
+/// One gateway process.
 pub(crate) struct Instance {
     pub(crate) ip: Ipv4Addr,
     settings: PathBuf,
@@ -42,12 +42,12 @@
 }
 
 impl World {
-    /// Starts a world with `count` instances in one data centre, which may not be ready yet.
+    /// Starts `count` instances in one data centre, without waiting for readiness.
     pub(crate) fn start(count: u8) -> Self {
         Self::start_in(&CENTRES[..1], count, 2)
     }
 
-    /// Starts a world with `count` instances over `centres` and so many endpoints of each service.
+    /// Starts `count` instances, spread over `centres`, and `endpoints` endpoints per service.
     pub(crate) fn start_in(centres: &[&'static str], count: u8, endpoints: u8) -> Self {
         let names = (1..=endpoints).flat_map(|n| [format!("m-{n}"), format!("o-{n}")]);
         let names: Vec<String> = names.collect();
@@ -93,7 +93,7 @@
         this
     }
 
-    /// Writes a configuration, with or without the key.
+    /// Writes a configuration to the store, with or without the callers' key.
     pub(crate) fn configure(&self, version: u64, has_key: bool) {
         let route = |name: &str, kind: &str, service: &str| {
             json!({
@@ -121,7 +121,7 @@
         self.store.put("config", "main", &spec);
     }
 
-    /// Writes the entry of an endpoint.
+    /// Writes an endpoint's entry to the store.
     pub(crate) fn list(&self, name: &str, state: &str) {
         let service = if name.starts_with('m') {
             "models"
@@ -136,7 +136,7 @@
         self.store.put("servers", name, &spec);
     }
 
-    /// When requests ended endpoints.
+    /// Times at which requests crashed endpoints, in order.
     pub(crate) fn ends(&self) -> Vec<std::time::Instant> {
         let ends = self.endpoints.values().flat_map(PlatformEndpoint::ends);
         let mut ends: Vec<_> = ends.collect();
@@ -176,7 +176,7 @@
         Ok((status, response.text().await?))
     }
 
-    /// Waits until an instance says that it is ready, or not.
+    /// Waits until the readiness of an instance is `is_ready`.
     pub(crate) async fn await_ready(&self, instance: usize, is_ready: bool) {
         let ip = self.instances[instance].ip;
         self.until("readiness", async || {
@@ -190,7 +190,7 @@
         .await;
     }
 
-    /// Waits until an instance knows so many others.
+    /// Waits until an instance knows at least `least` peers.
     pub(crate) async fn await_peers(&self, instance: usize, least: usize) {
         let ip = self.instances[instance].ip;
         self.until("peers", async || {
@@ -205,7 +205,7 @@
         .await;
     }
 
-    /// Waits until `holds`.
+    /// Waits until `holds` returns true; fails with `what` after the time limit.
     pub(crate) async fn until(&self, what: &str, holds: impl AsyncFn() -> bool) {
         let until = Instant::now() + PATIENCE;
         while !holds().await {
@@ -237,7 +237,7 @@
         }
     }
 
-    /// Address for callers.
+    /// Address of the listener for callers.
     pub(crate) fn front(&self) -> SocketAddr {
         SocketAddr::new(IpAddr::V4(self.ip), 8_783)
     }
@@ -253,7 +253,7 @@
         self.child = Some(child.expect("the gateway starts"));
     }
 
-    /// Sends a signal to the process, if it runs.
+    /// Sends a signal to the process, which has to run.
     pub(crate) fn signal(&self, signal: Signal) {
         let child = self.child.as_ref().expect("started");
         let id = i32::try_from(child.id()).expect("a process id");
@@ -266,7 +266,7 @@
         child.is_none_or(|c| c.try_wait().is_ok_and(|s| s.is_some()))
     }
 
-    /// Ends the process at once.
+    /// Kills the process.
     pub(crate) fn kill(&mut self) {
         if let Some(mut child) = self.child.take() {
             child.kill().expect("the process belongs to this test");
@@ -274,7 +274,7 @@
         }
     }
 
-    /// What the process logged.
+    /// Log output of the process so far.
     pub(crate) fn log(&self) -> String {
         std::fs::read_to_string(&self.log).unwrap_or_default()
     }
