--- a/cornelstand/src/gateway/daemon.rs
+++ b/cornelstand/src/gateway/daemon.rs
@@ -25,7 +25,7 @@
 /// Port of the metrics listener; the deploy file contains it as well.
 const METRICS_PORT: u16 = 9_464;
 /// Period at which queued requests are checked against free capacity.
-const TICK: Duration = Duration::from_millis(8);
+const TICK_PERIOD: Duration = Duration::from_millis(8);
 /// Ticks after which the queue is served even without an event: load estimates fall with time.
 const QUEUE_TICKS: u32 = 4;
 /// Weight of a tick in the moving average of timer lag; averages over about 200 ms.
@@ -33,23 +33,23 @@
 /// Weight of a tick in the moving average of the request rate; averages over about 1 s.
 const RATE_WEIGHT: f64 = 0.008;
 /// Period at which expired state is removed.
-const CLEAN_PERIOD: Duration = Duration::from_millis(500);
+const EXPIRY_PERIOD: Duration = Duration::from_millis(500);
 /// Period at which the settings file is read again, since it may change without a SIGHUP.
 const RELOAD_PERIOD: Duration = Duration::from_secs(2);
 /// Shortest time from a stop signal to the exit: the load balancer checks readiness once a second
 /// and removes an instance after two failures, so new connections still arrive.
-const STOP_ACCEPT: Duration = Duration::from_millis(3_200);
+const MIN_STOP_TIME: Duration = Duration::from_millis(3_200);
 /// Time after a stop signal from which new streams are refused: by then the load balancer sends
 /// retries to another instance.
-const STOP_STREAMS: Duration = Duration::from_millis(2_300);
+const STREAM_REFUSAL_DELAY: Duration = Duration::from_millis(2_300);
 /// Part of the grace period reserved for the exit itself; responses still open are cut.
 const GRACE_MARGIN: Duration = Duration::from_millis(500);
 /// Time limit to remove this instance's entry from the store at shutdown.
 const DEREGISTER_TIMEOUT: Duration = Duration::from_secs(2);
 /// Time before the end of the grace period from which all requests are refused; calls take less.
-const STOP_CALLS: Duration = Duration::from_millis(1_500);
+const CALL_REFUSAL_MARGIN: Duration = Duration::from_millis(1_500);
 /// Period at which shutdown checks whether all requests have ended.
-const STOP_PAUSE: Duration = Duration::from_millis(20);
+const STOP_CHECK_PERIOD: Duration = Duration::from_millis(20);
 
 /// Error while a gateway starts.
 #[derive(Debug, Snafu)]
@@ -114,7 +114,7 @@
         .with_writer(logs.clone())
         .try_init();
     if let Err(error) = started {
-        eprintln!("cornelstand: logs are set up already: {error}");
+        eprintln!("cornelstand: logging is already initialised: {error}");
     }
 }
 
@@ -196,7 +196,7 @@
         peers.clone(),
     )));
     spawn(Box::pin(tick(gate.clone())));
-    spawn(Box::pin(clean(gate.clone())));
+    spawn(Box::pin(expire_state(gate.clone())));
     Ok(peers)
 }
 
@@ -210,8 +210,8 @@
     let mut before = gate.metrics.requests.get();
     let mut ticks = 0_u32;
     loop {
-        let due = Instant::now() + TICK;
-        sleep(TICK).await;
+        let due = Instant::now() + TICK_PERIOD;
+        sleep(TICK_PERIOD).await;
         let lag = due.elapsed().as_secs_f64();
         gate.metrics.lag.observe(lag);
         gate.pauses.tick(boot_time());
@@ -219,7 +219,7 @@
             .set(gate.lag.get() + LAG_WEIGHT * (lag * 1e3 - gate.lag.get()));
         let requests = gate.metrics.requests.get();
         let count = usize::try_from(requests - before).unwrap_or(usize::MAX);
-        let rate = float(count) / (TICK.as_secs_f64() + lag);
+        let rate = float(count) / (TICK_PERIOD.as_secs_f64() + lag);
         gate.activity
             .set(gate.activity.get() + RATE_WEIGHT * (rate - gate.activity.get()));
         before = requests;
@@ -230,15 +230,15 @@
     }
 }
 
-async fn clean(gate: Rc<Gate>) {
-    let mut ticks = interval(CLEAN_PERIOD);
+async fn expire_state(gate: Rc<Gate>) {
+    let mut ticks = interval(EXPIRY_PERIOD);
     ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
     let mut before = gate.now();
     loop {
         ticks.tick().await;
         let now = gate.now();
         let mut state = gate.state.borrow_mut();
-        let lapsed = state.directory.expire(now);
+        let expired = state.directory.expire(now);
         state.endpoints.forget_parts(now);
         state.pool.expire();
         state.suspects.forgive(now);
@@ -248,7 +248,7 @@
         state.peers.forget(now);
         drop(state);
         gate.count_peers();
-        gate.apply(lapsed);
+        gate.apply(expired);
         gate.note_load();
         before = now;
     }
@@ -266,7 +266,9 @@
                 }
                 gate.settings.replace(settings);
             }
-            Err(error) => tracing::error!(event = "reload_failed", %error, "the settings stay"),
+            Err(error) => {
+                tracing::error!(event = "reload_failed", %error, "keeping the previous settings")
+            }
         }
     }
 }
@@ -282,9 +284,9 @@
         grace_ms = grace.as_millis()
     );
     peers_link::send_beat(gate, peers);
-    let gone = gate.clone();
+    let gate_clone = gate.clone();
     tokio::task::spawn_local(async move {
-        if timeout(DEREGISTER_TIMEOUT, deregister(&gone))
+        if timeout(DEREGISTER_TIMEOUT, deregister(&gate_clone))
             .await
             .is_err()
         {
@@ -292,19 +294,19 @@
         }
     });
     while started.elapsed() < grace {
-        let closing = if started.elapsed() + STOP_CALLS >= grace {
+        let closing = if started.elapsed() + CALL_REFUSAL_MARGIN >= grace {
             Closing::Everything
-        } else if started.elapsed() >= STOP_STREAMS {
+        } else if started.elapsed() >= STREAM_REFUSAL_DELAY {
             Closing::Streams
         } else {
             Closing::Nothing
         };
         gate.closing.set(closing);
-        let is_done = gate.active.get() == 0 && started.elapsed() >= STOP_ACCEPT;
+        let is_done = gate.active.get() == 0 && started.elapsed() >= MIN_STOP_TIME;
         if is_done {
             break;
         }
-        sleep(STOP_PAUSE).await;
+        sleep(STOP_CHECK_PERIOD).await;
     }
     tracing::info!(event = "stopped", cut = gate.active.get());
 }
