--- a/cornelstand/src/gateway/catalog.rs
+++ b/cornelstand/src/gateway/catalog.rs
@@ -46,16 +46,18 @@
 }
 
 /// Shortest silence after which callers abandon a stream, according to the platform.
-const SILENCE_MIN: Duration = Duration::from_secs(2);
+const MIN_SILENCE: Duration = Duration::from_secs(2);
 /// The same limit as multiples of the route's latency objective and of its pause objective.
-const SILENCE_OBJECTIVES: u32 = 4;
-const SILENCE_PAUSES: u32 = 8;
+const SILENCE_PER_OBJECTIVE: u32 = 4;
+const SILENCE_PER_PAUSE: u32 = 8;
 
 impl GatewayRoute {
     /// Silence after which callers abandon a stream: the largest of the three limits.
     pub(crate) fn silence(&self) -> Duration {
-        let objectives = self.objective * SILENCE_OBJECTIVES;
-        SILENCE_MIN.max(objectives).max(self.pause * SILENCE_PAUSES)
+        let objectives = self.objective * SILENCE_PER_OBJECTIVE;
+        MIN_SILENCE
+            .max(objectives)
+            .max(self.pause * SILENCE_PER_PAUSE)
     }
 
     /// Whether a request that may have run may be sent again.
@@ -70,10 +72,10 @@
     /// Selects a target service by weight, for a uniformly distributed `draw` in 0..1.
     pub(crate) fn target(&self, draw: f64) -> Option<&ServiceName> {
         let total: u32 = self.targets.iter().map(|(_, weight)| weight).sum();
-        let mut left = draw * f64::from(total);
+        let mut remaining = draw * f64::from(total);
         for (service, weight) in &self.targets {
-            left -= f64::from(*weight);
-            if left < 0.0 {
+            remaining -= f64::from(*weight);
+            if remaining < 0.0 {
                 return Some(service);
             }
         }
