--- a/cornelstand/src/gateway/logs.rs
+++ b/cornelstand/src/gateway/logs.rs
@@ -10,7 +10,7 @@
 use tracing_subscriber::fmt::MakeWriter;
 
 /// Size limit of the buffer, in bytes.
-const BUFFER_BYTES: usize = 1024 * 1024;
+const MAX_BUFFER_BYTES: usize = 1024 * 1024;
 /// Period of writes, and thus the longest delay of a line.
 const WRITE_PERIOD: Duration = Duration::from_millis(100);
 
@@ -63,7 +63,7 @@
 impl Write for LogBuffer {
     fn write(&mut self, line: &[u8]) -> io::Result<usize> {
         let mut buffer = self.0.lock().unwrap_or_else(PoisonError::into_inner);
-        if buffer.lines.len() + line.len() > BUFFER_BYTES {
+        if buffer.lines.len() + line.len() > MAX_BUFFER_BYTES {
             buffer.dropped += 1;
         } else {
             buffer.lines.extend_from_slice(line);
