--- a/cornelstand/src/platform/store.rs
+++ b/cornelstand/src/platform/store.rs
@@ -17,29 +17,29 @@
 /// Time limit to open a connection.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(600);
 /// Time that the store may take beyond the wait of a watch.
-const WATCH_SLACK: Duration = Duration::from_millis(600);
+const WATCH_MARGIN: Duration = Duration::from_millis(600);
 /// Largest response head, in bytes.
-const HEAD_BYTES: usize = 16 * 1024;
+const MAX_HEAD_BYTES: usize = 16 * 1024;
 /// Largest response body, in bytes; a page of a list has about one megabyte.
-const BODY_BYTES: usize = 8 * 1024 * 1024;
+const MAX_BODY_BYTES: usize = 8 * 1024 * 1024;
 
 /// Error of a call to the store.
 #[derive(Debug, Snafu)]
 pub(crate) enum StoreCallError {
     /// No response. The store may have executed the call, or may still do so.
-    #[snafu(display("no answer from the store: {reason}"))]
+    #[snafu(display("no response from the store: {reason}"))]
     NoAnswer { reason: String },
     /// The store refused the call: it is rate-limited, or the store is unavailable.
     #[snafu(display("the store refused the call with status {status}"))]
     Refused { status: u16 },
     /// The history since the requested revision was compacted.
-    #[snafu(display("the store has dropped the history that was asked for"))]
+    #[snafu(display("the store has compacted the requested history"))]
     HistoryGone,
     /// The object already exists, or its revision differs.
-    #[snafu(display("the object exists or was changed by others"))]
+    #[snafu(display("the object already exists or its revision differs"))]
     Conflict,
     /// The response does not match the schema.
-    #[snafu(display("the store's answer cannot be read: {source}"))]
+    #[snafu(display("malformed response from the store: {source}"))]
     Unreadable { source: serde_json::Error },
 }
 
@@ -129,7 +129,7 @@
             last.and_then(Value::as_str)
                 .unwrap_or_default()
                 .clone_into(&mut after);
-            objects.extend(page.items.into_iter().filter_map(read_object));
+            objects.extend(page.items.into_iter().filter_map(decode_object));
             let revision = *revision.get_or_insert(page.as_of);
             if !page.has_more || after.is_empty() {
                 return Ok((objects, revision));
@@ -150,11 +150,11 @@
     ) -> Result<(Vec<Change>, u64), StoreCallError> {
         let wait_ms = wait.as_millis();
         let path = format!("/-/objects/{kind}?watch={revision}&wait_ms={wait_ms}");
-        let body = self.call("GET", &path, &[], wait + WATCH_SLACK).await?;
+        let body = self.call("GET", &path, &[], wait + WATCH_MARGIN).await?;
         let changes: Changes = serde_json::from_slice(&body).context(UnreadableSnafu)?;
         let change = |fields: ChangeFields| {
             Some(Change {
-                object: read_object(fields.object)?,
+                object: decode_object(fields.object)?,
                 is_deleted: fields.deleted,
             })
         };
@@ -216,11 +216,11 @@
         }
         request.put_slice(b"\r\n");
         request.put_slice(body);
-        let exchange = connection.exchange(method, &request, (HEAD_BYTES, BODY_BYTES));
-        let late = |_| StoreCallError::NoAnswer {
+        let exchange = connection.exchange(method, &request, (MAX_HEAD_BYTES, MAX_BODY_BYTES));
+        let timed_out = |_| StoreCallError::NoAnswer {
             reason: "timed out".into(),
         };
-        let (head, body) = timeout(time, exchange).await.map_err(late)??;
+        let (head, body) = timeout(time, exchange).await.map_err(timed_out)??;
         if head.keeps_alive() && connection.input.is_empty() {
             self.connection = Some(connection);
         }
@@ -233,11 +233,11 @@
     }
 }
 
-fn read_object(value: Value) -> Option<StoreObject> {
+fn decode_object(value: Value) -> Option<StoreObject> {
     match serde_json::from_value(value) {
         Ok(object) => Some(object),
         Err(error) => {
-            tracing::warn!(event = "object_unreadable", %error, "an object was left out");
+            tracing::warn!(event = "object_unreadable", %error, "skipping a malformed object");
             None
         }
     }
