--- a/cornelstand/src/platform/tests/crashes.rs
+++ b/cornelstand/src/platform/tests/crashes.rs
@@ -14,16 +14,16 @@
 use crate::gateway::placement::{Place, PlaceEnd};
 use crate::gateway::tests::{ORDERS, crash, gate, list, record};
 use crate::name::{AccountName, Fingerprint};
-use crate::platform::tests::path::{ask, entry, local, request, status};
+use crate::platform::tests::path::{fetch, listen, request, run_local, status};
 use crate::platform::tests::scripted::{Endpoint, Step, accept, answer, read_request};
 
 /// Fingerprint of [`request`] for `path`.
-fn print(path: &str) -> Fingerprint {
+fn path_fingerprint(path: &str) -> Fingerprint {
     fingerprint(Some(&AccountName::from("ada")), path, b"body")
 }
 
 /// Takes all places of the only endpoint.
-fn fill(gate: &Gate) -> Vec<Place> {
+fn take_all_places(gate: &Gate) -> Vec<Place> {
     let mut state = gate.state.borrow_mut();
     let mut places = Vec::new();
     for _ in 0..12 {
@@ -33,18 +33,20 @@
 }
 
 #[tokio::test]
-async fn a_waiting_request_that_is_known_to_crash_endpoints_meanwhile_is_not_sent() {
-    local(async {
+async fn a_queued_request_is_not_sent_once_it_is_known_to_crash_endpoints() {
+    run_local(async {
         let script = vec![Step::Read, Step::Write(answer("a1", "", "done"))];
         let endpoint = Endpoint::start(vec![script]).await;
         let gate = gate("one", vec![record("o-1", ORDERS, endpoint.address)]);
-        let address = entry(&gate).await;
-        let places = fill(&gate);
+        let address = listen(&gate).await;
+        let places = take_all_places(&gate);
         let asked =
-            tokio::task::spawn_local(async move { ask(address, &request("/book/1", "a1")).await });
+            tokio::task::spawn_local(
+                async move { fetch(address, &request("/book/1", "a1")).await },
+            );
         sleep(Duration::from_millis(60)).await;
         for endpoint in ["e-1", "e-2"] {
-            gate.note_crash(print("/book/1"), crash(endpoint));
+            gate.note_crash(path_fingerprint("/book/1"), crash(endpoint));
         }
         for place in &places {
             gate.end(place, PlaceEnd::Neutral);
@@ -80,7 +82,7 @@
 
 #[tokio::test]
 async fn a_failure_of_an_endpoint_does_not_clear_a_request_that_crashes_others() {
-    local(async {
+    run_local(async {
         let failure = "HTTP/1.1 500 Oops\r\nX-Cornelstand-Attempt-Id: a2\r\n\
                        X-Cornelstand-Server-Stamp: s\r\nContent-Length: 0\r\n\r\n";
         let mut records = Vec::new();
@@ -93,10 +95,10 @@
             records.push(record(name, ORDERS, endpoint(kind).await));
         }
         let gate = gate("one", records);
-        let address = entry(&gate).await;
+        let address = listen(&gate).await;
         let mut statuses = Vec::new();
         for id in ["a1", "a2", "a3", "a4"] {
-            statuses.push(status(&ask(address, &request("/book/1", id)).await).to_owned());
+            statuses.push(status(&fetch(address, &request("/book/1", id)).await).to_owned());
         }
         assert_eq!(statuses, ["502", "500", "502", "503"]);
     })
@@ -105,13 +107,13 @@
 
 #[tokio::test]
 async fn a_request_with_other_headers_and_framing_is_the_same_request() {
-    local(async {
+    run_local(async {
         let mut records = Vec::new();
         for name in ["o-1", "o-2", "o-3"] {
             records.push(record(name, ORDERS, endpoint(None).await));
         }
         let gate = gate("one", records);
-        let address = entry(&gate).await;
+        let address = listen(&gate).await;
         let plain = request("/book/1", "a1");
         let chunked = request("/book/1", "a2").replacen(
             "Content-Length: 4\r\n\r\nbody",
@@ -121,7 +123,7 @@
         let resumed = request("/book/1", "a3").replacen("Host:", "Last-Event-Id: 3\r\nHost:", 1);
         let mut statuses = Vec::new();
         for request in [plain, chunked, resumed] {
-            statuses.push(status(&ask(address, &request).await).to_owned());
+            statuses.push(status(&fetch(address, &request).await).to_owned());
         }
         assert_eq!(statuses, ["502", "502", "503"]);
     })
@@ -130,7 +132,7 @@
 
 /// An endpoint that drops its first connection and accepts later ones, as if it had crashed and
 /// restarted before the loss was detected.
-async fn reborn() -> SocketAddr {
+async fn restarted_endpoint() -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("loopback");
     let address = listener.local_addr().expect("bound");
     tokio::task::spawn_local(async move {
@@ -148,30 +150,34 @@
 #[case::other_name("o-9", 2, true)]
 #[case::same_lifetime("o-1", 1, false)]
 #[tokio::test]
-async fn an_endpoint_that_is_back_before_its_loss_is_noticed_counts_as_crashed(
+async fn a_restart_before_the_loss_is_detected_counts_as_a_crash(
     #[case] name: &str,
     #[case] born: u64,
     #[case] is_crash: bool,
 ) {
-    local(async {
-        let address = reborn().await;
+    run_local(async {
+        let address = restarted_endpoint().await;
         let gate = gate("one", vec![record("o-1", ORDERS, address)]);
-        let front = entry(&gate).await;
+        let front = listen(&gate).await;
         let asked =
-            tokio::task::spawn_local(async move { ask(front, &request("/book/1", "a1")).await });
+            tokio::task::spawn_local(async move { fetch(front, &request("/book/1", "a1")).await });
         sleep(Duration::from_millis(50)).await;
         let mut again = record(name, ORDERS, address);
         again.born = born;
         list(&gate, vec![again]);
         assert_eq!(status(&asked.await.expect("a caller")), "502");
-        let crashes = gate.state.borrow().suspects.crashes(print("/book/1"));
+        let crashes = gate
+            .state
+            .borrow()
+            .suspects
+            .crashes(path_fingerprint("/book/1"));
         assert_eq!(crashes, usize::from(is_crash));
     })
     .await;
 }
 
 /// An endpoint that every request crashes, and that restarts at the same address 350 ms later.
-async fn fragile() -> SocketAddr {
+async fn crashing_endpoint() -> SocketAddr {
     let mut listener = TcpListener::bind("127.0.0.1:0").await.expect("loopback");
     let address = listener.local_addr().expect("bound");
     tokio::task::spawn_local(async move {
@@ -191,17 +197,26 @@
 }
 
 #[tokio::test]
-async fn an_endpoint_that_starts_again_unknown_to_the_store_counts_each_time() {
-    local(async {
-        let gate = gate("one", vec![record("o-1", ORDERS, fragile().await)]);
-        let address = entry(&gate).await;
+async fn each_crash_counts_though_the_store_misses_the_restart() {
+    run_local(async {
+        let gate = gate(
+            "one",
+            vec![record("o-1", ORDERS, crashing_endpoint().await)],
+        );
+        let address = listen(&gate).await;
         let mut statuses = Vec::new();
         for id in ["a1", "a2", "a3"] {
-            statuses.push(status(&ask(address, &request("/book/1", id)).await).to_owned());
+            statuses.push(status(&fetch(address, &request("/book/1", id)).await).to_owned());
             sleep(Duration::from_millis(600)).await;
         }
         assert_eq!(statuses, ["502", "502", "503"]);
-        assert_eq!(gate.state.borrow().suspects.crashes(print("/book/1")), 2);
+        assert_eq!(
+            gate.state
+                .borrow()
+                .suspects
+                .crashes(path_fingerprint("/book/1")),
+            2
+        );
     })
     .await;
 }
--- a/cornelstand/src/platform/tests/endless.rs
+++ b/cornelstand/src/platform/tests/endless.rs
@@ -11,13 +11,15 @@
 
 use crate::gateway::tests::{MODELS, ORDERS, catalog, gate, record};
 use crate::gateway::upstream::{Pool, Upstream};
-use crate::platform::tests::path::{ask, connect, entry, local, request, status, with_engines};
+use crate::platform::tests::path::{
+    connect, fetch, listen, request, run_local, status, with_engines,
+};
 use crate::platform::tests::scripted::{
-    Endpoint, PATIENCE, Step, answer, chunk, event, stream_head,
+    Endpoint, Step, TEST_TIMEOUT, answer, chunk, event, stream_head,
 };
 
 /// Memory bound under a flood, in bytes; twice the largest response that is buffered.
-const MEMORY: usize = 32 * 1024 * 1024;
+const MAX_MEMORY: usize = 32 * 1024 * 1024;
 
 /// An endpoint on a separate thread that responds to each request with `start`, followed by
 /// `filler` repeated without end, as fast as it is read.
@@ -27,13 +29,13 @@
     std::thread::spawn(move || {
         for stream in listener.incoming().flatten() {
             let start = start.clone();
-            std::thread::spawn(move || pour(stream, &start, filler));
+            std::thread::spawn(move || serve_flood(stream, &start, filler));
         }
     });
     address
 }
 
-fn pour(mut stream: TcpStream, start: &str, filler: &str) {
+fn serve_flood(mut stream: TcpStream, start: &str, filler: &str) {
     let mut head = [0; 4096];
     if !stream.read(&mut head).is_ok_and(|count| count > 0) {
         return;
@@ -41,7 +43,7 @@
     let filler = filler.repeat(64 * 1024 / filler.len());
     let mut bytes = 0;
     let mut is_open = stream.write_all(start.as_bytes()).is_ok();
-    while is_open && bytes < 64 * MEMORY {
+    while is_open && bytes < 64 * MAX_MEMORY {
         is_open = stream.write_all(filler.as_bytes()).is_ok();
         bytes += filler.len();
     }
@@ -53,7 +55,7 @@
     )
 }
 
-fn own_memory() -> usize {
+fn resident_memory() -> usize {
     let text = std::fs::read_to_string("/proc/self/statm").expect("a process file");
     let pages = text.split(' ').nth(1).and_then(|p| p.parse::<usize>().ok());
     pages.expect("a number") * 4096
@@ -71,23 +73,25 @@
 #[case::trailer(head("Transfer-Encoding: chunked\r\n\r\n0\r\n"), "x: y\r\n")]
 #[case::body(head("\r\n"), "more and more and more")]
 #[tokio::test]
-async fn an_endless_answer_of_a_call_ends_and_delays_nobody(
+async fn an_endless_response_is_cut_and_delays_no_other_request(
     #[case] start: String,
     #[case] filler: &'static str,
 ) {
-    local(async {
-        let before = own_memory();
+    run_local(async {
+        let before = resident_memory();
         let bad = flood(start, filler);
         let stream = answer("a2", "", &event(1));
         let good = Endpoint::start(vec![vec![Step::Read, Step::Write(stream)]]).await;
         let good = record("m-1", MODELS, good.address);
         let gate = gate("one", vec![record("o-1", ORDERS, bad), good]);
-        let address = entry(&gate).await;
+        let address = listen(&gate).await;
         let flooded =
-            tokio::task::spawn_local(async move { ask(address, &request("/book/1", "a1")).await });
+            tokio::task::spawn_local(
+                async move { fetch(address, &request("/book/1", "a1")).await },
+            );
         sleep(Duration::from_millis(30)).await;
         let started = Instant::now();
-        let text = ask(address, &request("/digest/1", "a2")).await;
+        let text = fetch(address, &request("/digest/1", "a2")).await;
         assert_eq!(status(&text), "200", "{text}");
         assert!(
             started.elapsed() < Duration::from_secs(1),
@@ -95,22 +99,22 @@
             started.elapsed()
         );
         assert_eq!(status(&flooded.await.expect("a caller")), "502");
-        let more = own_memory().saturating_sub(before);
-        assert!(more < MEMORY * 4, "{more} bytes");
+        let more = resident_memory().saturating_sub(before);
+        assert!(more < MAX_MEMORY * 4, "{more} bytes");
         assert_eq!(gate.active.get(), 0);
     })
     .await;
 }
 
 #[tokio::test]
-async fn bytes_behind_a_whole_answer_cost_only_their_connection() {
-    local(async {
+async fn bytes_after_a_complete_response_only_cost_their_connection() {
+    run_local(async {
         let whole = head("Content-Length: 4\r\n\r\ndone");
         let bad = flood(whole + "and more", "and more");
         let gate = gate("one", vec![record("o-1", ORDERS, bad)]);
-        let address = entry(&gate).await;
+        let address = listen(&gate).await;
         for _ in 0..3 {
-            let text = ask(address, &request("/book/1", "a1")).await;
+            let text = fetch(address, &request("/book/1", "a1")).await;
             assert!(text.ends_with("\r\n\r\ndone"), "{text}");
         }
     })
@@ -121,10 +125,10 @@
 #[case::second_copy(&head("Content-Length: 4\r\n\r\ndone"))]
 #[case::no_answer("and more")]
 #[tokio::test]
-async fn a_connection_with_bytes_that_came_in_a_pause_is_not_used_again(#[case] late: &str) {
+async fn a_pooled_connection_with_input_from_a_pause_is_not_reused(#[case] late: &str) {
     let listener = TcpListener::bind("127.0.0.1:0").expect("loopback");
     let address = listener.local_addr().expect("bound");
-    let upstream = Upstream::connect(address, PATIENCE)
+    let upstream = Upstream::connect(address, TEST_TIMEOUT)
         .await
         .expect("accepted");
     let (mut server, _) = listener.accept().expect("a connection");
@@ -141,29 +145,29 @@
 #[case::event("data: no end of the line ")]
 #[case::lines("data: no end of the event\n")]
 #[tokio::test]
-async fn an_endless_event_ends_its_stream(#[case] filler: &'static str) {
-    local(async {
-        let before = own_memory();
+async fn an_endless_event_aborts_its_stream(#[case] filler: &'static str) {
+    run_local(async {
+        let before = resident_memory();
         let bad = flood(head("Content-Type: text/event-stream\r\n\r\n"), filler);
         let gate = gate("one", vec![record("m-1", MODELS, bad)]);
-        let address = entry(&gate).await;
+        let address = listen(&gate).await;
         let started = Instant::now();
-        let text = ask(address, &request("/digest/1", "a1")).await;
+        let text = fetch(address, &request("/digest/1", "a1")).await;
         assert!(
             started.elapsed() < Duration::from_secs(3),
             "{:?}",
             started.elapsed()
         );
-        assert!(!text.ends_with("0\r\n\r\n"), "not whole");
-        let more = own_memory().saturating_sub(before);
-        assert!(more < MEMORY, "{more} bytes");
+        assert!(!text.ends_with("0\r\n\r\n"), "the stream looks complete");
+        let more = resident_memory().saturating_sub(before);
+        assert!(more < MAX_MEMORY, "{more} bytes");
     })
     .await;
 }
 
 #[tokio::test]
-async fn a_stalled_stream_that_sends_single_bytes_goes_on_elsewhere() {
-    local(async {
+async fn a_stalled_stream_that_trickles_bytes_is_resumed_elsewhere() {
+    run_local(async {
         let mut stalled = vec![
             Step::Read,
             Step::Write(stream_head("a1")),
@@ -181,7 +185,7 @@
         ];
         let (_gate, address, _engines) = with_engines(vec![vec![stalled], vec![good]]).await;
         let started = Instant::now();
-        let text = ask(address, &request("/quote/1", "a1")).await;
+        let text = fetch(address, &request("/quote/1", "a1")).await;
         assert!(
             text.contains("piece 2") && text.ends_with("0\r\n\r\n"),
             "{text}"
@@ -199,7 +203,7 @@
 /// allows for it.
 #[tokio::test]
 async fn a_slow_stream_of_a_route_with_long_pauses_is_not_cut() {
-    local(async {
+    run_local(async {
         let slow = vec![
             Step::Read,
             Step::Write(stream_head("a1")),
@@ -214,7 +218,7 @@
             Arc::make_mut(route).pause = Duration::from_millis(800);
         }
         assert!(gate.state.borrow_mut().directory.set_catalog(catalog));
-        let text = ask(address, &request("/quote/1", "a1")).await;
+        let text = fetch(address, &request("/quote/1", "a1")).await;
         assert!(
             text.contains("piece 2") && text.ends_with("0\r\n\r\n"),
             "{text}"
@@ -233,23 +237,23 @@
     "0"
 )]
 #[tokio::test]
-async fn a_caller_that_sends_without_end_is_cut_and_delays_nobody(
+async fn an_endless_request_is_cut_and_delays_no_other_request(
     #[case] start: &'static str,
     #[case] filler: &'static str,
 ) {
-    local(async {
+    run_local(async {
         let good =
             Endpoint::start(vec![vec![Step::Read, Step::Write(answer("a1", "", "ok"))]]).await;
         let gate = gate("one", vec![record("o-1", ORDERS, good.address)]);
-        let address = entry(&gate).await;
+        let address = listen(&gate).await;
         let flooding = std::thread::spawn(move || {
             let stream = TcpStream::connect(address).expect("the entry listens");
             stream.set_nodelay(true).expect("a socket option");
-            pour_from(stream, start, filler);
+            send_flood(stream, start, filler);
         });
         sleep(Duration::from_millis(50)).await;
-        let text = timeout(PATIENCE, ask(address, &request("/book/1", "a1"))).await;
-        assert_eq!(status(&text.expect("served beside a flood")), "200");
+        let text = timeout(TEST_TIMEOUT, fetch(address, &request("/book/1", "a1"))).await;
+        assert_eq!(status(&text.expect("served during the flood")), "200");
         let wait = async {
             while !flooding.is_finished() {
                 sleep(Duration::from_millis(10)).await;
@@ -263,7 +267,7 @@
 }
 
 /// Sends until the gateway closes the connection.
-fn pour_from(mut stream: TcpStream, start: &str, filler: &str) {
+fn send_flood(mut stream: TcpStream, start: &str, filler: &str) {
     let filler = filler.repeat(16 * 1024 / filler.len());
     let mut is_open = stream.write_all(start.as_bytes()).is_ok();
     while is_open {
@@ -272,13 +276,13 @@
 }
 
 #[tokio::test]
-async fn a_body_that_comes_byte_by_byte_is_cut_at_the_callers_own_deadline() {
-    local(async {
+async fn a_body_sent_byte_by_byte_is_cut_at_the_callers_deadline() {
+    run_local(async {
         let gate = gate(
             "one",
             vec![record("o-1", ORDERS, ([127, 0, 0, 1], 1).into())],
         );
-        let address = entry(&gate).await;
+        let address = listen(&gate).await;
         let text = request("/book/1", "a1").replacen("Length: 4", "Length: 400", 1);
         let text = text.replacen("5000", "600", 1);
         let mut stream = connect(address).await;
--- a/cornelstand/src/platform/tests/notices.rs
+++ b/cornelstand/src/platform/tests/notices.rs
@@ -10,7 +10,7 @@
 use crate::gateway::gate::Gate;
 use crate::gateway::tests::{MODELS, ORDERS, gate, list, record};
 use crate::platform::tests::path::{
-    ask, entry, local, request, status, with_engines, with_near_and_far, with_orders,
+    fetch, listen, request, run_local, status, with_engines, with_near_and_far, with_orders,
 };
 use crate::platform::tests::scripted::{Endpoint, Step, answer, chunk, stream_head};
 
@@ -54,28 +54,28 @@
 #[case::failure("500 Oops", "X-Cornelstand-Server-Stamp: s\r\n")]
 #[case::refusal("503 Full", "X-Cornelstand-Not-Executed: 1\r\n")]
 #[tokio::test]
-async fn an_endpoint_that_says_it_leaves_gets_no_more(#[case] phrase: &str, #[case] extra: &str) {
-    local(async {
+async fn a_draining_endpoint_gets_no_new_requests(#[case] phrase: &str, #[case] extra: &str) {
+    run_local(async {
         let text = format!(
             "HTTP/1.1 {phrase}\r\nX-Cornelstand-Attempt-Id: a1\r\n{extra}{LEAVING}Content-Length: 0\r\n\r\n"
         );
         let near = vec![vec![Step::Read, Step::Write(text)]];
         let far = answers(&["a2", "a3"], "");
         let (gate, address, near, far) = near_and_far(near, far).await;
-        ask(address, &request("/book/1", "a1")).await;
-        assert_eq!(status(&ask(address, &request("/book/1", "a2")).await), "200");
+        fetch(address, &request("/book/1", "a1")).await;
+        assert_eq!(status(&fetch(address, &request("/book/1", "a2")).await), "200");
         // The store drops the endpoint and then lists it as ready again.
         list(&gate, pair(&near, &far, 1)[1..].to_vec());
         list(&gate, pair(&near, &far, 1));
-        assert_eq!(status(&ask(address, &request("/book/1", "a3")).await), "200");
+        assert_eq!(status(&fetch(address, &request("/book/1", "a3")).await), "200");
         assert_eq!((near.count(), far.count()), (1, 2));
     })
     .await;
 }
 
 #[tokio::test]
-async fn the_head_of_a_stream_tells_that_its_endpoint_leaves() {
-    local(async {
+async fn the_head_of_a_stream_can_announce_draining() {
+    run_local(async {
         let (gate, address, _engines) = with_engines(vec![vec![vec![
             Step::Read,
             Step::Write(stream_head("a1").replacen(
@@ -89,10 +89,12 @@
         ]]])
         .await;
         let stream =
-            tokio::task::spawn_local(async move { ask(address, &request("/quote/1", "a1")).await });
+            tokio::task::spawn_local(
+                async move { fetch(address, &request("/quote/1", "a1")).await },
+            );
         sleep(Duration::from_millis(200)).await;
         let started = Instant::now();
-        let text = ask(address, &request("/quote/1", "a2")).await;
+        let text = fetch(address, &request("/quote/1", "a2")).await;
         assert_eq!(status(&text), "503");
         assert!(
             started.elapsed() < Duration::from_millis(100),
@@ -107,14 +109,14 @@
 }
 
 #[tokio::test]
-async fn an_endpoint_started_again_does_not_leave() {
-    local(async {
+async fn a_restarted_endpoint_is_not_draining() {
+    run_local(async {
         let near = [answers(&["a1"], LEAVING), answers(&["a2"], "")].concat();
         let (gate, address, near, far) = near_and_far(near, Vec::new()).await;
-        ask(address, &request("/book/1", "a1")).await;
+        fetch(address, &request("/book/1", "a1")).await;
         list(&gate, pair(&near, &far, 2));
         assert_eq!(
-            status(&ask(address, &request("/book/1", "a2")).await),
+            status(&fetch(address, &request("/book/1", "a2")).await),
             "200"
         );
         assert_eq!((near.count(), far.count()), (2, 0));
@@ -123,28 +125,28 @@
 }
 
 #[tokio::test]
-async fn an_endpoint_that_asks_for_a_rest_gets_nothing_until_its_end() {
-    local(async {
+async fn an_endpoint_gets_no_requests_during_its_back_off() {
+    run_local(async {
         let near = [vec![refusal("a1", "1.2")], answers(&["a3"], "")].concat();
         let far = answers(&["a1", "a2"], "");
         let (gate, address, near, far) = near_and_far(near, far).await;
         // The refused call is retried at the other endpoint at once.
         let started = Instant::now();
         assert_eq!(
-            status(&ask(address, &request("/stock/1", "a1")).await),
+            status(&fetch(address, &request("/stock/1", "a1")).await),
             "200"
         );
         assert!(started.elapsed() < Duration::from_millis(300));
         list(&gate, pair(&near, &far, 1)[1..].to_vec());
         list(&gate, pair(&near, &far, 1));
         assert_eq!(
-            status(&ask(address, &request("/stock/1", "a2")).await),
+            status(&fetch(address, &request("/stock/1", "a2")).await),
             "200"
         );
         assert_eq!((near.count(), far.count()), (1, 2));
         sleep(Duration::from_millis(1_300)).await;
         assert_eq!(
-            status(&ask(address, &request("/stock/1", "a3")).await),
+            status(&fetch(address, &request("/stock/1", "a3")).await),
             "200"
         );
         assert_eq!((near.count(), far.count()), (2, 2));
@@ -153,17 +155,20 @@
 }
 
 #[tokio::test]
-async fn callers_are_told_when_the_first_of_resting_endpoints_is_back() {
-    local(async {
+async fn retry_after_is_the_earliest_end_of_the_back_offs() {
+    run_local(async {
         let near = vec![refusal("a1", "3")];
         let far = vec![refusal("a2", "2")];
         let (_gate, address, near, far) = near_and_far(near, far).await;
-        ask(address, &request("/book/1", "a1")).await;
-        ask(address, &request("/book/1", "a2")).await;
+        fetch(address, &request("/book/1", "a1")).await;
+        fetch(address, &request("/book/1", "a2")).await;
         let started = Instant::now();
-        let text = ask(address, &request("/book/1", "a3")).await;
+        let text = fetch(address, &request("/book/1", "a3")).await;
         assert_eq!(status(&text), "503");
-        assert!(started.elapsed() < Duration::from_millis(100), "not held");
+        assert!(
+            started.elapsed() < Duration::from_millis(100),
+            "refused without waiting"
+        );
         let after = text
             .split("retry-after: ")
             .nth(1)
@@ -181,16 +186,16 @@
 #[case::date("Fri, 04 Dec 2026 09:00:00 GMT")]
 #[case::infinite("inf")]
 #[tokio::test]
-async fn an_unusable_rest_is_none(#[case] rest: &str) {
-    local(async {
+async fn an_invalid_back_off_is_ignored(#[case] rest: &str) {
+    run_local(async {
         let scripts = [vec![refusal("a1", rest)], answers(&["a2"], "")].concat();
         let (_gate, address, endpoint) = with_orders(scripts).await;
         assert_eq!(
-            status(&ask(address, &request("/book/1", "a1")).await),
+            status(&fetch(address, &request("/book/1", "a1")).await),
             "503"
         );
         assert_eq!(
-            status(&ask(address, &request("/book/1", "a2")).await),
+            status(&fetch(address, &request("/book/1", "a2")).await),
             "200"
         );
         assert_eq!(endpoint.count(), 2);
@@ -200,8 +205,8 @@
 
 /// The engine is busy and requested no back-off, so `Retry-After` follows from the account's load.
 #[tokio::test]
-async fn a_request_that_waited_in_vain_is_not_sent_back_at_once() {
-    local(async {
+async fn a_request_that_timed_out_in_the_queue_is_not_retried_at_once() {
+    run_local(async {
         let busy = vec![
             Step::Read,
             Step::Write(stream_head("a1")),
@@ -212,11 +217,13 @@
         let mut engine = record("m-1", MODELS, engine.address);
         engine.slots = 1;
         let gate = gate("one", vec![engine]);
-        let address = entry(&gate).await;
+        let address = listen(&gate).await;
         let _running =
-            tokio::task::spawn_local(async move { ask(address, &request("/quote/1", "a1")).await });
+            tokio::task::spawn_local(
+                async move { fetch(address, &request("/quote/1", "a1")).await },
+            );
         sleep(Duration::from_millis(100)).await;
-        let text = ask(address, &request("/quote/1", "a2")).await;
+        let text = fetch(address, &request("/quote/1", "a2")).await;
         assert_eq!(status(&text), "503");
         assert!(text.ends_with("no endpoint had room in time\n"), "{text}");
         let after = text
--- a/cornelstand/src/platform/tests/path.rs
+++ b/cornelstand/src/platform/tests/path.rs
@@ -14,16 +14,16 @@
 use crate::gateway::gate::Gate;
 use crate::gateway::tests::{MODELS, ORDERS, gate, list, record};
 use crate::platform::tests::scripted::{
-    Endpoint, PATIENCE, Step, answer, chunk, event, read_request, stream_head,
+    Endpoint, Step, TEST_TIMEOUT, answer, chunk, event, read_request, stream_head,
 };
 
 /// Runs a test in a `LocalSet`, since the gateway spawns local tasks.
-pub(super) async fn local(test: impl Future<Output = ()>) {
+pub(super) async fn run_local(test: impl Future<Output = ()>) {
     LocalSet::new().run_until(test).await;
 }
 
 /// Starts a listener for callers and returns its address.
-pub(super) async fn entry(gate: &Rc<Gate>) -> SocketAddr {
+pub(super) async fn listen(gate: &Rc<Gate>) -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("loopback");
     let address = listener.local_addr().expect("bound");
     tokio::task::spawn_local(connection::accept(gate.clone(), listener));
@@ -45,15 +45,15 @@
 }
 
 /// Sends a request with `Connection: close` and reads the response until the connection ends.
-pub(super) async fn ask(address: SocketAddr, request: &str) -> String {
+pub(super) async fn fetch(address: SocketAddr, request: &str) -> String {
     let request = request.replacen("Host:", "Connection: close\r\nHost:", 1);
     let mut stream = connect(address).await;
     stream.write_all(request.as_bytes()).await.expect("sent");
     let mut text = Vec::new();
     // After a reset, the bytes read so far are the response.
-    let _ = timeout(PATIENCE, stream.read_to_end(&mut text))
+    let _ = timeout(TEST_TIMEOUT, stream.read_to_end(&mut text))
         .await
-        .expect("an end");
+        .expect("the response ends");
     String::from_utf8_lossy(&text).into_owned()
 }
 
@@ -66,23 +66,23 @@
     let mut record_far = record("o-2", ORDERS, far);
     record_far.centre = "south".into();
     let gate = gate("one", vec![record("o-1", ORDERS, near), record_far]);
-    let address = entry(&gate).await;
+    let address = listen(&gate).await;
     (gate, address)
 }
 
 pub(super) async fn with_orders(scripts: Vec<Vec<Step>>) -> (Rc<Gate>, SocketAddr, Endpoint) {
     let endpoint = Endpoint::start(scripts).await;
     let gate = gate("one", vec![record("o-1", ORDERS, endpoint.address)]);
-    let address = entry(&gate).await;
+    let address = listen(&gate).await;
     (gate, address, endpoint)
 }
 
 #[tokio::test]
-async fn a_call_is_answered_with_the_endpoints_bytes() {
-    local(async {
+async fn a_call_gets_the_endpoints_response_unchanged() {
+    run_local(async {
         let script = vec![Step::Read, Step::Write(answer("a1", "", "done"))];
         let (_gate, address, endpoint) = with_orders(vec![script]).await;
-        let text = ask(address, &request("/book/1", "a1")).await;
+        let text = fetch(address, &request("/book/1", "a1")).await;
         assert!(text.starts_with("HTTP/1.1 200 OK\r\n") && text.ends_with("\r\n\r\ndone"));
         let sent = endpoint.requests.borrow()[0].clone();
         assert!(sent.contains("x-cornelstand-expect-instance: o-1\r\n"));
@@ -124,10 +124,10 @@
     #[case] instead: &str,
     #[case] expected: &str,
 ) {
-    local(async {
+    run_local(async {
         let (_gate, address, endpoint) = with_orders(Vec::new()).await;
         let text = request(path, "a1").replacen(part, instead, usize::from(!part.is_empty()));
-        assert_eq!(status(&ask(address, &text).await), expected);
+        assert_eq!(status(&fetch(address, &text).await), expected);
         assert_eq!(endpoint.count(), 0);
     })
     .await;
@@ -147,11 +147,11 @@
 #[case::nothing("")]
 #[tokio::test]
 async fn a_call_that_may_have_run_is_never_sent_again(#[case] wire: &str) {
-    local(async {
+    run_local(async {
         let script = vec![Step::Read, Step::Write(wire.to_owned())];
         let (_gate, address, endpoint) = with_orders(vec![script.clone(), script]).await;
         assert_eq!(
-            status(&ask(address, &request("/book/1", "a1")).await),
+            status(&fetch(address, &request("/book/1", "a1")).await),
             "502"
         );
         assert_eq!(endpoint.count(), 1);
@@ -160,22 +160,22 @@
 }
 
 #[tokio::test]
-async fn a_reset_answer_without_length_is_not_taken_for_a_whole_one() {
-    local(async {
+async fn a_reset_response_without_length_is_not_taken_for_complete() {
+    run_local(async {
             let head = "HTTP/1.1 200 OK\r\nX-Cornelstand-Attempt-Id: a1\r\nX-Cornelstand-Server-Stamp: s\r\n\r\nhalf";
             let script = vec![Step::Read, Step::Write(head.into()), Step::Pause(50), Step::Reset];
             let (_gate, address, _endpoint) = with_orders(vec![script]).await;
-            assert_eq!(status(&ask(address, &request("/book/1", "a1")).await), "502");
+            assert_eq!(status(&fetch(address, &request("/book/1", "a1")).await), "502");
     })
     .await;
 }
 
 #[tokio::test]
-async fn an_answer_without_length_ends_with_its_connection() {
-    local(async {
+async fn a_response_without_length_ends_with_its_connection() {
+    run_local(async {
             let head = "HTTP/1.1 200 OK\r\nX-Cornelstand-Attempt-Id: a1\r\nX-Cornelstand-Server-Stamp: s\r\n\r\nwhole";
             let (_gate, address, _endpoint) = with_orders(vec![vec![Step::Read, Step::Write(head.into())]]).await;
-            let text = ask(address, &request("/book/1", "a1")).await;
+            let text = fetch(address, &request("/book/1", "a1")).await;
             assert!(text.ends_with("\r\n\r\nwhole") && status(&text) == "200");
     })
     .await;
@@ -183,23 +183,23 @@
 
 #[tokio::test]
 async fn an_idempotent_call_is_tried_again_after_a_failure() {
-    local(async {
+    run_local(async {
             let failed = "HTTP/1.1 500 Oops\r\nX-Cornelstand-Attempt-Id: a1\r\nX-Cornelstand-Server-Stamp: s\r\nContent-Length: 0\r\n\r\n";
             let bad = Endpoint::start(vec![vec![Step::Read, Step::Write(failed.into())]]).await;
             let good = Endpoint::start(vec![vec![Step::Read, Step::Write(answer("a1", "", "ok"))]]).await;
             let (_gate, address) = with_near_and_far(bad.address, good.address).await;
-            assert_eq!(status(&ask(address, &request("/stock/1", "a1")).await), "200");
+            assert_eq!(status(&fetch(address, &request("/stock/1", "a1")).await), "200");
             assert_eq!((bad.count(), good.count()), (1, 1));
     })
     .await;
 }
 
 #[tokio::test]
-async fn the_failure_of_an_endpoint_is_passed_on_if_no_other_is_left() {
-    local(async {
+async fn an_error_response_is_forwarded_if_no_other_endpoint_is_left() {
+    run_local(async {
             let failed = "HTTP/1.1 500 Oops\r\nX-Cornelstand-Attempt-Id: a1\r\nX-Cornelstand-Server-Stamp: s\r\nContent-Length: 4\r\n\r\nhelp";
             let (_gate, address, _endpoint) = with_orders(vec![vec![Step::Read, Step::Write(failed.into())]]).await;
-            let text = ask(address, &request("/stock/1", "a1")).await;
+            let text = fetch(address, &request("/stock/1", "a1")).await;
             assert!(text.starts_with("HTTP/1.1 500 ") && text.ends_with("help"));
             assert!(text.contains("X-Cornelstand-Server-Stamp: s"));
     })
@@ -207,13 +207,13 @@
 }
 
 #[tokio::test]
-async fn a_refusal_of_an_endpoint_is_a_refusal_with_a_time_to_return() {
-    local(async {
+async fn a_refusal_of_an_endpoint_becomes_a_503_with_retry_after() {
+    run_local(async {
         let full =
             "HTTP/1.1 503 Busy\r\nX-Cornelstand-Not-Executed: 1\r\nContent-Length: 0\r\n\r\n";
         let (_gate, address, endpoint) =
             with_orders(vec![vec![Step::Read, Step::Write(full.into())]]).await;
-        let text = ask(address, &request("/book/1", "a1")).await;
+        let text = fetch(address, &request("/book/1", "a1")).await;
         assert_eq!(status(&text), "503");
         assert!(text.contains("retry-after: "));
         assert_eq!(endpoint.count(), 1);
@@ -222,8 +222,8 @@
 }
 
 #[tokio::test]
-async fn a_late_answer_to_an_earlier_request_is_passed_over() {
-    local(async {
+async fn a_late_response_to_an_earlier_request_is_skipped() {
+    run_local(async {
         let script = vec![
             Step::Read,
             Step::Write(answer("a1", "", "first")),
@@ -232,8 +232,8 @@
             Step::Write(answer("a2", "", "second")),
         ];
         let (_gate, address, endpoint) = with_orders(vec![script]).await;
-        let first = ask(address, &request("/book/1", "a1")).await;
-        let second = ask(address, &request("/book/2", "a2")).await;
+        let first = fetch(address, &request("/book/1", "a1")).await;
+        let second = fetch(address, &request("/book/2", "a2")).await;
         assert!(first.ends_with("\r\n\r\nfirst") && second.ends_with("\r\n\r\nsecond"));
         assert_eq!(endpoint.count(), 2);
     })
@@ -241,8 +241,8 @@
 }
 
 #[tokio::test]
-async fn a_connection_with_bytes_left_is_not_used_again() {
-    local(async {
+async fn a_connection_with_unread_bytes_is_not_reused() {
+    run_local(async {
         let doubled = answer("a1", "", "first") + &answer("a1", "", "extra");
         let scripts = vec![
             vec![Step::Read, Step::Write(doubled), Step::AwaitClose],
@@ -250,12 +250,12 @@
         ];
         let (_gate, address, endpoint) = with_orders(scripts).await;
         assert!(
-            ask(address, &request("/book/1", "a1"))
+            fetch(address, &request("/book/1", "a1"))
                 .await
                 .ends_with("\r\n\r\nfirst")
         );
         assert!(
-            ask(address, &request("/book/2", "a2"))
+            fetch(address, &request("/book/2", "a2"))
                 .await
                 .ends_with("\r\n\r\nsecond")
         );
@@ -265,16 +265,16 @@
 }
 
 #[tokio::test]
-async fn an_endpoint_that_refuses_connections_costs_no_attempt() {
-    local(async {
+async fn a_refused_connection_does_not_count_as_an_attempt() {
+    run_local(async {
         let closed = TcpListener::bind("127.0.0.1:0").await.expect("loopback");
-        let nowhere = closed.local_addr().expect("bound");
+        let refusing = closed.local_addr().expect("bound");
         drop(closed);
         let good =
             Endpoint::start(vec![vec![Step::Read, Step::Write(answer("a1", "", "ok"))]]).await;
-        let (_gate, address) = with_near_and_far(nowhere, good.address).await;
+        let (_gate, address) = with_near_and_far(refusing, good.address).await;
         assert_eq!(
-            status(&ask(address, &request("/book/1", "a1")).await),
+            status(&fetch(address, &request("/book/1", "a1")).await),
             "200"
         );
     })
@@ -286,7 +286,7 @@
     let engine = Endpoint::start(scripts).await;
     let records = ["m-0", "m-1"].map(|name| record(name, MODELS, engine.address));
     let gate = gate("one", records.to_vec());
-    let address = entry(&gate).await;
+    let address = listen(&gate).await;
     (gate, address, engine)
 }
 
@@ -300,13 +300,13 @@
     let records = engines.iter().enumerate();
     let records = records.map(|(i, e)| record(&format!("m-{i}"), MODELS, e.address));
     let gate = gate("one", records.collect());
-    let address = entry(&gate).await;
+    let address = listen(&gate).await;
     (gate, address, engines)
 }
 
 #[tokio::test]
-async fn events_of_a_stream_arrive_whole_and_in_order() {
-    local(async {
+async fn events_of_a_stream_arrive_complete_and_in_order() {
+    run_local(async {
         let (first, second) = (event(1), event(2));
         let script = vec![
             Step::Read,
@@ -317,7 +317,7 @@
             Step::Write("0\r\n\r\n".into()),
         ];
         let (_gate, address, _engines) = with_engines(vec![vec![script]]).await;
-        let text = ask(address, &request("/digest/1", "a1")).await;
+        let text = fetch(address, &request("/digest/1", "a1")).await;
         let body = text.split_once("\r\n\r\n").expect("a head").1;
         let both = first + &second;
         assert_eq!(body, format!("{}0\r\n\r\n", chunk(&both)));
@@ -326,8 +326,8 @@
 }
 
 #[tokio::test]
-async fn a_stream_that_cannot_go_on_is_visibly_cut_and_runs_once() {
-    local(async {
+async fn a_stream_that_cannot_be_resumed_is_visibly_cut_and_runs_once() {
+    run_local(async {
         let script = vec![
             Step::Read,
             Step::Write(stream_head("a1") + &chunk(&event(1))),
@@ -336,7 +336,7 @@
         ];
         let (_gate, address, engines) =
             with_engines(vec![vec![script.clone()], vec![script]]).await;
-        let text = ask(address, &request("/digest/1", "a1")).await;
+        let text = fetch(address, &request("/digest/1", "a1")).await;
         assert!(text.contains("piece 1") && !text.contains("0\r\n\r\n"));
         assert_eq!(engines.iter().map(Endpoint::count).sum::<usize>(), 1);
     })
@@ -344,8 +344,8 @@
 }
 
 #[tokio::test]
-async fn the_connection_of_a_stream_that_no_endpoint_goes_on_with_is_closed() {
-    local(async {
+async fn the_connection_of_a_stream_that_no_endpoint_resumes_is_closed() {
+    run_local(async {
         let broken = vec![
             Step::Read,
             Step::Write(stream_head("a1") + &chunk(&event(1))),
@@ -374,8 +374,8 @@
 #[case::reset(Step::Reset)]
 #[case::silence(Step::AwaitClose)]
 #[tokio::test]
-async fn a_resumable_stream_goes_on_elsewhere_without_a_torn_or_doubled_event(#[case] fault: Step) {
-    local(async {
+async fn a_stream_is_resumed_elsewhere_without_a_partial_or_duplicate_event(#[case] fault: Step) {
+    run_local(async {
         let torn = event(2)[..7].to_owned();
         let broken = vec![
             Step::Read,
@@ -387,7 +387,7 @@
         // Either name may be selected first; the second connection resumes the stream.
         let scripts = vec![broken, vec![Step::Read, Step::Write(rest)]];
         let (_gate, address, listener) = with_two_names(scripts).await;
-        let text = ask(address, &request("/quote/1", "a1")).await;
+        let text = fetch(address, &request("/quote/1", "a1")).await;
         let body = text.split_once("\r\n\r\n").expect("a head").1;
         let events: Vec<&str> = body.lines().filter(|l| l.starts_with("data")).collect();
         assert_eq!(events, ["data: piece 1", "data: piece 2", "data: piece 3"]);
@@ -399,7 +399,7 @@
 
 #[tokio::test]
 async fn the_connection_to_the_endpoint_is_closed_when_the_caller_leaves() {
-    local(async {
+    run_local(async {
         let script = vec![
             Step::Read,
             Step::Write(stream_head("a1") + &chunk(&event(1))),
@@ -417,20 +417,20 @@
             .await
             .expect("the answer begins");
         drop(caller);
-        timeout(PATIENCE, async {
+        timeout(TEST_TIMEOUT, async {
             while engines[0].closes.get() == 0 || gate.active.get() > 0 {
                 sleep(Duration::from_millis(5)).await;
             }
         })
         .await
-        .expect("the endpoint is told");
+        .expect("the endpoint sees the close");
     })
     .await;
 }
 
 #[tokio::test]
 async fn two_requests_on_one_connection_get_their_own_answers() {
-    local(async {
+    run_local(async {
         let script = vec![
             Step::Read,
             Step::Write(answer("a1", "", "first")),
@@ -443,9 +443,9 @@
         let mut caller = connect(address).await;
         caller.write_all(both.as_bytes()).await.expect("sent");
         let mut text = String::new();
-        timeout(PATIENCE, caller.read_to_string(&mut text))
+        timeout(TEST_TIMEOUT, caller.read_to_string(&mut text))
             .await
-            .expect("an end")
+            .expect("the response ends")
             .expect("read");
         let (first, second) = (text.find("first"), text.find("second"));
         assert!(first.is_some() && first < second);
@@ -455,7 +455,7 @@
 
 #[tokio::test]
 async fn a_request_that_crashed_two_endpoints_is_refused() {
-    local(async {
+    run_local(async {
         let mut records = Vec::new();
         for name in ["m-0", "m-1", "m-2"] {
             let listener = TcpListener::bind("127.0.0.1:0").await.expect("loopback");
@@ -470,10 +470,10 @@
             });
         }
         let gate = gate("one", records);
-        let address = entry(&gate).await;
+        let address = listen(&gate).await;
         let mut statuses = Vec::new();
         for id in ["a1", "a2", "a3"] {
-            statuses.push(status(&ask(address, &request("/digest/1", id)).await).to_owned());
+            statuses.push(status(&fetch(address, &request("/digest/1", id)).await).to_owned());
         }
         assert_eq!(statuses, ["502", "502", "503"]);
     })
@@ -482,10 +482,10 @@
 
 #[tokio::test]
 async fn a_service_without_endpoints_is_refused_at_once() {
-    local(async {
+    run_local(async {
         let gate = gate("one", Vec::new());
-        let address = entry(&gate).await;
-        let text = ask(address, &request("/digest/1", "a1")).await;
+        let address = listen(&gate).await;
+        let text = fetch(address, &request("/digest/1", "a1")).await;
         assert_eq!(status(&text), "503");
         assert!(text.contains("retry-after: "));
     })
@@ -493,15 +493,15 @@
 }
 
 #[tokio::test]
-async fn an_endpoint_in_a_data_centre_that_is_taken_out_gets_nothing() {
-    local(async {
+async fn an_endpoint_in_an_evacuated_data_centre_gets_no_requests() {
+    run_local(async {
         let (gate, address, endpoint) = with_orders(Vec::new()).await;
         gate.state
             .borrow_mut()
             .directory
             .set_evacuated(["north".into()].into());
         assert_eq!(
-            status(&ask(address, &request("/book/1", "a1")).await),
+            status(&fetch(address, &request("/book/1", "a1")).await),
             "503"
         );
         assert_eq!(endpoint.count(), 0);
@@ -510,15 +510,15 @@
 }
 
 #[tokio::test]
-async fn a_stream_that_ends_with_its_connection_in_an_event_is_not_shown_as_whole() {
-    local(async {
+async fn a_stream_closed_within_an_event_is_not_shown_as_complete() {
+    run_local(async {
         let head = stream_head("a1").replacen("Transfer-Encoding: chunked\r\n", "", 1);
         let cut = vec![
             Step::Read,
             Step::Write(head + &event(1) + "id: 2\ndata: pi"),
         ];
         let (_gate, address, _engines) = with_engines(vec![vec![cut]]).await;
-        let text = ask(address, &request("/digest/1", "a1")).await;
+        let text = fetch(address, &request("/digest/1", "a1")).await;
         assert!(
             text.contains("piece 1") && !text.ends_with("0\r\n\r\n"),
             "{text}"
@@ -528,8 +528,8 @@
 }
 
 #[tokio::test]
-async fn an_answer_under_way_goes_on_though_its_endpoint_is_silent_in_the_store() {
-    local(async {
+async fn an_open_response_continues_after_its_endpoint_is_unlisted() {
+    run_local(async {
         let slow = vec![
             Step::Read,
             Step::Write(stream_head("a1")),
@@ -540,7 +540,9 @@
         ];
         let (gate, address, engines) = with_engines(vec![vec![slow], vec![]]).await;
         let asked =
-            tokio::task::spawn_local(async move { ask(address, &request("/quote/1", "a1")).await });
+            tokio::task::spawn_local(
+                async move { fetch(address, &request("/quote/1", "a1")).await },
+            );
         sleep(Duration::from_millis(150)).await;
         // The store lists no endpoint any more, as after late heartbeats.
         list(&gate, Vec::new());
--- a/cornelstand/src/platform/tests/scripted.rs
+++ b/cornelstand/src/platform/tests/scripted.rs
@@ -9,7 +9,7 @@
 use tokio::time::sleep;
 
 /// Time limit for any wait in a test; far above the latency of loopback.
-pub(crate) const PATIENCE: Duration = Duration::from_secs(20);
+pub(crate) const TEST_TIMEOUT: Duration = Duration::from_secs(20);
 
 /// A step of the script for one connection.
 #[derive(Clone, Debug)]
@@ -64,7 +64,7 @@
         tokio::task::spawn_local(async move {
             for script in scripts {
                 let stream = accept(&listener).await;
-                tokio::task::spawn_local(play(stream, script, kept.clone(), counted.clone()));
+                tokio::task::spawn_local(run_script(stream, script, kept.clone(), counted.clone()));
             }
         });
         Self {
@@ -89,7 +89,7 @@
     }
 }
 
-pub(crate) async fn play(
+pub(crate) async fn run_script(
     mut stream: TcpStream,
     script: Vec<Step>,
     requests: Rc<std::cell::RefCell<Vec<String>>>,
