--- a/cornelstand/tests/gateway/main.rs
+++ b/cornelstand/tests/gateway/main.rs
@@ -13,19 +13,19 @@
 use tokio::net::TcpStream;
 use tokio::time::{Instant, sleep};
 
-fn whole_stream() -> String {
+fn full_stream() -> String {
     let events = (1..=EVENTS).map(|n| format!("id: {n}\ndata: {n} of {EVENTS}\n\n"));
     events.collect()
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn calls_and_streams_are_served_and_the_log_tells_their_way() {
+async fn calls_and_streams_are_served_and_logged() {
     let world = World::start(2);
     world.await_ready(0, true).await;
     let (status, body) = world.ask(0, "/book/1", "r-1").await.expect("an answer");
     assert_eq!((status, body.as_str()), (200, "answer to r-1"));
     let (status, body) = world.ask(0, "/stream/1", "r-2").await.expect("an answer");
-    assert_eq!((status, body), (200, whole_stream()));
+    assert_eq!((status, body), (200, full_stream()));
     world
         .until("log lines", async || {
             let log = world.instances[0].log();
@@ -44,7 +44,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_new_configuration_is_in_force_within_its_time_and_a_revoked_key_is_refused() {
+async fn a_new_configuration_is_active_in_time_and_a_revoked_key_is_refused() {
     let world = World::start(2);
     for i in 0..2 {
         world.await_ready(i, true).await;
@@ -77,12 +77,12 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_stop_cuts_nothing() {
+async fn a_shutdown_cuts_no_response() {
     let mut world = World::start(2);
     world.await_ready(0, true).await;
     let until = Instant::now() + Duration::from_secs(2);
     let mut number = 0;
-    let mut is_told = false;
+    let mut is_signalled = false;
     while Instant::now() < until {
         number += 1;
         let path = if number % 2 == 0 {
@@ -95,9 +95,9 @@
             .await
             .expect("a whole answer");
         assert_eq!(status, 200);
-        assert!(number % 2 == 0 || body == whole_stream());
-        if !is_told && number > 3 {
-            is_told = true;
+        assert!(number % 2 == 0 || body == full_stream());
+        if !is_signalled && number > 3 {
+            is_signalled = true;
             world.instances[0].signal(Signal::TERM);
             world.await_ready(0, false).await;
         }
@@ -113,7 +113,7 @@
 }
 
 /// Outcome of one request on a caller's connection.
-enum Fate {
+enum Outcome {
     /// A complete response was read; `closes` if it has `Connection: close`.
     Answered { closes: bool },
     /// The connection ended before a complete response.
@@ -128,15 +128,15 @@
     )
 }
 
-async fn exchange(stream: &mut TcpStream, id: &str) -> Fate {
+async fn exchange(stream: &mut TcpStream, id: &str) -> Outcome {
     if stream.write_all(call(id).as_bytes()).await.is_err() {
-        return Fate::Unanswered;
+        return Outcome::Unanswered;
     }
     let mut text = Vec::new();
     loop {
         match stream.read_buf(&mut text).await {
             Ok(count) if count > 0 => {}
-            _ => return Fate::Unanswered,
+            _ => return Outcome::Unanswered,
         }
         let answer = String::from_utf8_lossy(&text).to_ascii_lowercase();
         let Some((head, body)) = answer.split_once("\r\n\r\n") else {
@@ -146,14 +146,14 @@
         let length = length.and_then(|l| l.split("\r\n").next()?.parse().ok());
         if body.len() >= length.expect("a length") {
             let closes = head.contains("connection: close");
-            return Fate::Answered { closes };
+            return Outcome::Answered { closes };
         }
     }
 }
 
 /// Callers use keep-alive connections and go on until the process refuses new ones.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_stop_under_load_leaves_no_request_that_ran_without_its_answer() {
+async fn a_shutdown_under_load_answers_every_request_that_ran() {
     let mut world = World::start(1);
     world.await_ready(0, true).await;
     let front = world.instances[0].front();
@@ -165,13 +165,13 @@
                 loop {
                     let id = format!("{caller}-{}", answered + unanswered.len());
                     match exchange(&mut stream, &id).await {
-                        Fate::Answered { closes } => {
+                        Outcome::Answered { closes } => {
                             answered += 1;
                             if closes {
                                 break;
                             }
                         }
-                        Fate::Unanswered => {
+                        Outcome::Unanswered => {
                             unanswered.push(id);
                             break;
                         }
@@ -199,7 +199,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_key_revoked_during_a_pause_opens_nothing_after_it() {
+async fn a_key_revoked_during_a_pause_is_refused_after_it() {
     let world = World::start(1);
     world.await_ready(0, true).await;
     for round in 0..6 {
@@ -207,7 +207,7 @@
         let front = world.instances[0].front();
         let mut stream = TcpStream::connect(front).await.expect("accepted");
         let before = exchange(&mut stream, &format!("o-{round}")).await;
-        assert!(matches!(before, Fate::Answered { closes: false }));
+        assert!(matches!(before, Outcome::Answered { closes: false }));
         world.instances[0].signal(Signal::STOP);
         sleep(Duration::from_millis(1_300)).await;
         // When the instance resumes, it finds the request and the configuration change together.
@@ -231,7 +231,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_paused_instance_runs_nothing_whose_caller_left() {
+async fn a_paused_instance_runs_no_request_of_a_disconnected_caller() {
     let world = World::start(1);
     world.await_ready(0, true).await;
     world.instances[0].signal(Signal::STOP);
@@ -256,7 +256,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn an_instance_that_starts_without_the_store_takes_its_beliefs_from_a_peer() {
+async fn an_instance_that_starts_without_the_store_gets_its_state_from_a_peer() {
     let mut world = World::start(2);
     for i in 0..2 {
         world.await_ready(i, true).await;
@@ -273,7 +273,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn without_store_and_peers_callers_are_told_to_come_back_until_the_store_answers() {
+async fn without_store_and_peers_requests_are_refused_until_the_store_responds() {
     let mut world = World::start(1);
     world.store.set_faults(StoreFaults {
         silent: true,
@@ -291,7 +291,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn an_endpoint_that_leaves_gets_nothing_more() {
+async fn a_draining_endpoint_gets_no_new_requests() {
     let world = World::start(1);
     world.await_ready(0, true).await;
     world.list("o-1", "draining");
@@ -309,7 +309,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_stream_that_breaks_off_goes_on_at_another_endpoint() {
+async fn a_broken_stream_is_resumed_at_another_endpoint() {
     let world = World::start(1);
     world.await_ready(0, true).await;
     world.endpoints["m-1"].set_faults(EndpointFaults {
@@ -321,6 +321,6 @@
             .ask(0, "/stream/1", &format!("r-{i}"))
             .await
             .expect("an answer");
-        assert_eq!((status, body), (200, whole_stream()));
+        assert_eq!((status, body), (200, full_stream()));
     }
 }
--- a/cornelstand/tests/gateway/soak.rs
+++ b/cornelstand/tests/gateway/soak.rs
@@ -17,8 +17,8 @@
 use tokio::sync::RwLock;
 use tokio::time::{Instant, sleep};
 
+use crate::full_stream;
 use crate::platform::World;
-use crate::whole_stream;
 
 const INSTANCES: u8 = 3;
 const CALLERS: usize = 6;
@@ -27,7 +27,7 @@
 
 /// Result of a request as its caller observed it.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-enum Heard {
+enum Observed {
     Served,
     /// Refused with a status that promises that it did not run.
     Refused,
@@ -40,7 +40,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn promises_hold_under_random_faults() {
+async fn guarantees_hold_under_random_faults() {
     let seconds = variable("CORNELSTAND_SOAK_SECONDS").unwrap_or(6);
     let seeds = variable("CORNELSTAND_SOAK_SEED").map_or(SEEDS.to_vec(), |s| vec![s]);
     for seed in seeds {
@@ -54,63 +54,67 @@
         world.await_ready(i, true).await;
     }
     let world = Arc::new(RwLock::new(world));
-    let is_over = Arc::new(AtomicBool::new(false));
-    let number = Arc::new(AtomicU64::new(0));
+    let is_done = Arc::new(AtomicBool::new(false));
+    let next_id = Arc::new(AtomicU64::new(0));
     let callers: Vec<_> = (0..CALLERS)
         .map(|i| {
-            tokio::spawn(call(
+            tokio::spawn(run_caller(
                 world.clone(),
-                is_over.clone(),
-                number.clone(),
+                is_done.clone(),
+                next_id.clone(),
                 seed,
                 i,
             ))
         })
         .collect();
-    harm(&world, seed, length).await;
-    is_over.store(true, Ordering::Relaxed);
-    let mut heard = BTreeMap::new();
+    inject_faults(&world, seed, length).await;
+    is_done.store(true, Ordering::Relaxed);
+    let mut observed = BTreeMap::new();
     for caller in callers {
-        heard.extend(caller.await.expect("the caller's checks hold"));
+        observed.extend(caller.await.expect("the caller's checks hold"));
     }
-    check(&*world.read().await, &heard, seed);
+    check_guarantees(&*world.read().await, &observed, seed);
 }
 
-async fn call(
+async fn run_caller(
     world: Arc<RwLock<World>>,
-    is_over: Arc<AtomicBool>,
-    number: Arc<AtomicU64>,
+    is_done: Arc<AtomicBool>,
+    next_id: Arc<AtomicU64>,
     seed: u64,
     caller: usize,
-) -> BTreeMap<String, Heard> {
+) -> BTreeMap<String, Observed> {
     let mut rng = ChaCha8Rng::seed_from_u64(seed * 1_000 + caller as u64);
-    let mut heard = BTreeMap::new();
-    while !is_over.load(Ordering::Relaxed) {
+    let mut observed = BTreeMap::new();
+    while !is_done.load(Ordering::Relaxed) {
         let path = ["/book/1", "/stock/1", "/stream/1"][rng.random_range(0..3)];
         let instance = rng.random_range(0..usize::from(INSTANCES));
-        let id = format!("{}-{}", &path[1..3], number.fetch_add(1, Ordering::Relaxed));
+        let id = format!(
+            "{}-{}",
+            &path[1..3],
+            next_id.fetch_add(1, Ordering::Relaxed)
+        );
         let answer = world.read().await.ask(instance, path, &id).await;
         let result = match answer {
             Ok((200, body)) => {
-                let own = if path == "/stream/1" {
-                    whole_stream()
+                let expected = if path == "/stream/1" {
+                    full_stream()
                 } else {
                     format!("answer to {id}")
                 };
-                assert_eq!(body, own, "seed {seed}: {id} got another answer");
-                Heard::Served
+                assert_eq!(body, expected, "seed {seed}: {id} got a wrong response");
+                Observed::Served
             }
-            Ok((408 | 421 | 429 | 503, _)) => Heard::Refused,
-            Ok(_) | Err(_) => Heard::Unknown,
+            Ok((408 | 421 | 429 | 503, _)) => Observed::Refused,
+            Ok(_) | Err(_) => Observed::Unknown,
         };
-        heard.insert(id, result);
+        observed.insert(id, result);
         sleep(Duration::from_millis(rng.random_range(1..15))).await;
     }
-    heard
+    observed
 }
 
 /// Injects random faults, which may overlap.
-async fn harm(world: &RwLock<World>, seed: u64, length: Duration) {
+async fn inject_faults(world: &RwLock<World>, seed: u64, length: Duration) {
     let mut rng = ChaCha8Rng::seed_from_u64(seed);
     let until = Instant::now() + length;
     let mut version = 1;
@@ -161,7 +165,7 @@
     world.instances.iter().for_each(|i| i.signal(Signal::CONT));
 }
 
-fn check(world: &World, heard: &BTreeMap<String, Heard>, seed: u64) {
+fn check_guarantees(world: &World, observed: &BTreeMap<String, Observed>, seed: u64) {
     let mut runs: BTreeMap<String, u32> = BTreeMap::new();
     for endpoint in world.endpoints.values() {
         for (id, count) in endpoint.runs() {
@@ -170,7 +174,7 @@
     }
     for (id, count) in &runs {
         assert!(
-            heard.contains_key(id),
+            observed.contains_key(id),
             "seed {seed}: {id} ran and no caller sent it"
         );
         assert!(
@@ -178,17 +182,20 @@
             "seed {seed}: {id} ran {count} times"
         );
     }
-    for (id, heard) in heard.iter().filter(|(id, _)| id.starts_with("bo")) {
+    for (id, observed) in observed.iter().filter(|(id, _)| id.starts_with("bo")) {
         let ran = runs.contains_key(id);
         assert!(
-            *heard != Heard::Refused || !ran,
+            *observed != Observed::Refused || !ran,
             "seed {seed}: {id} was refused and ran"
         );
         assert!(
-            *heard != Heard::Served || ran,
+            *observed != Observed::Served || ran,
             "seed {seed}: {id} was served and never ran"
         );
     }
-    let served = heard.values().filter(|h| **h == Heard::Served).count();
+    let served = observed
+        .values()
+        .filter(|h| **h == Observed::Served)
+        .count();
     assert!(served > 0, "seed {seed}: nothing was served");
 }
