--- a/cornelstand/tests/gateway/platform/mod.rs
+++ b/cornelstand/tests/gateway/platform/mod.rs
@@ -15,16 +15,16 @@
 use tokio::time::{Instant, sleep};
 
 /// Time limit for any wait; far above what the processes need.
-pub(crate) const PATIENCE: Duration = Duration::from_secs(30);
+pub(crate) const TEST_TIMEOUT: Duration = Duration::from_secs(30);
 pub(crate) const KEY: &str = "key-a";
 pub(crate) const EVENTS: u32 = 12;
 
 /// Names of the data centres.
 pub(crate) const CENTRES: [&str; 3] = ["north", "south", "west"];
 /// Time until an endpoint restarts after a request crashed it.
-pub(crate) const DOWN: Duration = Duration::from_millis(800);
+pub(crate) const RESTART_DELAY: Duration = Duration::from_millis(800);
 
-static WORLDS: AtomicU8 = AtomicU8::new(1);
+static NEXT_WORLD: AtomicU8 = AtomicU8::new(1);
 
 /// One gateway process.
 pub(crate) struct Instance {
@@ -59,11 +59,11 @@
                 work: Duration::from_millis(5),
                 events: EVENTS,
                 pause: Duration::from_millis(20),
-                down: DOWN,
+                down: RESTART_DELAY,
             });
             endpoints.insert(name.clone(), endpoint.expect("the endpoint starts"));
         }
-        let world = WORLDS.fetch_add(1, Ordering::Relaxed);
+        let world = NEXT_WORLD.fetch_add(1, Ordering::Relaxed);
         let process = u8::try_from(std::process::id() % 200).expect("below 200");
         let ip = |i: u8| Ipv4Addr::new(127, 20 + process, world, 10 + i);
         let seeds: Vec<String> = (0..count.min(3))
@@ -75,7 +75,7 @@
             instances: Vec::new(),
             http: reqwest::Client::builder()
                 .no_proxy()
-                .timeout(PATIENCE)
+                .timeout(TEST_TIMEOUT)
                 .build()
                 .expect("a client"),
         };
@@ -207,9 +207,9 @@
 
     /// Waits until `holds` returns true; fails with `what` after the time limit.
     pub(crate) async fn until(&self, what: &str, holds: impl AsyncFn() -> bool) {
-        let until = Instant::now() + PATIENCE;
+        let until = Instant::now() + TEST_TIMEOUT;
         while !holds().await {
-            assert!(Instant::now() < until, "no {what} in {PATIENCE:?}");
+            assert!(Instant::now() < until, "no {what} in {TEST_TIMEOUT:?}");
             sleep(Duration::from_millis(20)).await;
         }
     }
