--- a/cornelstand/src/gateway/call.rs
+++ b/cornelstand/src/gateway/call.rs
@@ -457,7 +457,7 @@
         NotRun::Moved | NotRun::Unreachable => "the endpoint is gone",
         NotRun::Barred => CRASH_REASON,
     };
-    // After several sends, an earlier one may have run, which 503 would rule out.
+    // A 503 promises that the request has not run, but an earlier attempt may have run it.
     let status = if call.sends == 1 { 503 } else { 502 };
     let account = call.account_name();
     let retry_after = gate
--- a/cornelstand/src/gateway/connection.rs
+++ b/cornelstand/src/gateway/connection.rs
@@ -16,7 +16,7 @@
 use crate::gateway::upstream::{read_into, set_socket_options};
 use crate::platform::headers::read_call;
 
-/// Pause after `accept` fails, for instance for want of file descriptors.
+/// Pause after `accept` fails for a cause other than the connection itself.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(100);
 /// Longest time to read and discard input after a request was refused.
 const DRAIN_TIMEOUT: Duration = Duration::from_millis(100);
--- a/cornelstand/src/platform/tests/notices.rs
+++ b/cornelstand/src/platform/tests/notices.rs
@@ -231,7 +231,7 @@
             .nth(1)
             .and_then(|t| t.split("\r\n").next());
         let after: f64 = after.and_then(|a| a.parse().ok()).expect("a time");
-        // The minimum for a full queue; the shorter one applies to back-offs only.
+        // The shortest `Retry-After` of a full queue is 50 ms; that of a back-off would be 20 ms.
         assert!(after >= 0.05, "{after}");
     })
     .await;
--- a/cornelstand/tests/gateway/main.rs
+++ b/cornelstand/tests/gateway/main.rs
@@ -151,7 +151,7 @@
     }
 }
 
-/// Callers use keep-alive connections and go on until the process refuses new ones.
+/// Callers reuse their connections and send requests until the process refuses new connections.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_shutdown_under_load_answers_every_request_that_ran() {
     let mut world = World::start(1);
