--- a/cornelstand/src/gateway/daemon.rs
+++ b/cornelstand/src/gateway/daemon.rs
@@ -266,9 +266,7 @@
                 }
                 gate.settings.replace(settings);
             }
-            Err(error) => {
-                tracing::error!(event = "reload_failed", %error, "keeping the previous settings")
-            }
+            Err(error) => tracing::error!(event = "reload_failed", %error, "settings unchanged"),
         }
     }
 }
