--- a/cornelstand/src/gateway/relay.rs
+++ b/cornelstand/src/gateway/relay.rs
@@ -219,9 +219,9 @@
         let mut skipped = 0;
         loop {
             let head = self.read_head(call, outlet).await?;
-            let answer = read_response(&head);
-            self.gate.note(place, answer.notice);
-            let is_foreign = answer.request_id.is_some_and(|id| id != call.request_id);
+            let response = read_response(&head);
+            self.gate.note(place, response.notice);
+            let is_foreign = response.request_id.is_some_and(|id| id != call.request_id);
             let mut body = head
                 .answer_body(call.head.method())
                 .map_err(ReadError::from)?;
@@ -236,15 +236,15 @@
                 self.read_body(&mut body, call, outlet).await?;
                 continue;
             }
-            self.idle = answer.idle;
+            self.idle = response.idle;
             self.is_reusable &= head.keeps_alive() && !body.is_until_close();
-            if answer.not_run {
+            if response.not_run {
                 let moved = head.status() == 421;
                 let _body = self.read_body(&mut body, call, outlet).await?;
                 let reason = if moved { NotRun::Moved } else { NotRun::Busy };
                 return Ok(Attempt::NotRun(reason));
             }
-            if !is_authentic(&head, &answer) {
+            if !is_authentic(&head, &response) {
                 return Ok(Attempt::Lost("no receipt"));
             }
             let is_good = (200..300).contains(&head.status());
@@ -253,11 +253,11 @@
             }
             self.gate.begin(place);
             let body = self.read_body(&mut body, call, outlet).await?;
-            let answer = BufferedResponse { head, body };
+            let response = BufferedResponse { head, body };
             if !is_good && call.may_retry() {
-                return Ok(Attempt::Failed(answer));
+                return Ok(Attempt::Failed(response));
             }
-            return deliver(call, outlet, answer)
+            return deliver(call, outlet, response)
                 .await
                 .map_err(Interruption::from);
         }
@@ -378,9 +378,9 @@
 }
 
 /// Whether a response is authentic: a success needs a stamp and request ID, and no encoding.
-fn is_authentic(head: &Head, answer: &ResponseFields<'_>) -> bool {
+fn is_authentic(head: &Head, response: &ResponseFields<'_>) -> bool {
     let is_good = (200..300).contains(&head.status());
-    !is_good || (answer.has_stamp && answer.request_id.is_some() && !answer.is_encoded)
+    !is_good || (response.has_stamp && response.request_id.is_some() && !response.is_encoded)
 }
 
 /// Appends events to the output, preceded by the response head if none was sent yet.
