--- a/cornelstand/src/gateway/daemon.rs
+++ b/cornelstand/src/gateway/daemon.rs
@@ -1,4 +1,4 @@
-//! The process of a gateway: start, reload and stop.
+//! Process lifecycle of a gateway: start, settings reload and graceful shutdown.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -22,46 +22,46 @@
 use crate::gateway::{connection, peers_link};
 use crate::platform::settings::{SettingsFileError, read_settings};
 
-/// Port of the metrics address; the deploy file names it, too.
+/// Port of the metrics listener; the deploy file contains it as well.
 const METRICS_PORT: u16 = 9_464;
-/// Time between two looks at whether an endpoint got room.
-const TICK: Duration = Duration::from_millis(8);
-/// Ticks after which the queue is served in any case: what engines have to read shrinks with time.
+/// Period at which queued requests are checked against free capacity.
+const TICK_PERIOD: Duration = Duration::from_millis(8);
+/// Ticks after which the queue is served even without an event: load estimates fall with time.
 const QUEUE_TICKS: u32 = 4;
-/// Weight of one more tick in the lateness of timers: about the last 200 ms.
+/// Weight of a tick in the moving average of timer lag; averages over about 200 ms.
 const LAG_WEIGHT: f64 = 0.06;
-/// Weight of one more tick in the rate of requests: about the last second.
+/// Weight of a tick in the moving average of the request rate; averages over about 1 s.
 const RATE_WEIGHT: f64 = 0.008;
-/// Time between two clean-ups.
-const CLEAN_PERIOD: Duration = Duration::from_millis(500);
-/// Time between two looks at the settings file, which may change without a signal.
+/// Period at which expired state is removed.
+const EXPIRY_PERIOD: Duration = Duration::from_millis(500);
+/// Period at which the settings file is read again, since it may change without a SIGHUP.
 const RELOAD_PERIOD: Duration = Duration::from_secs(2);
-/// Time after a stop signal for which new connections still come: the balancer asks once a second
-/// and takes an instance out after two misses.
-const STOP_ACCEPT: Duration = Duration::from_millis(3_200);
-/// Time after a stop signal from which new streams are refused: by then the balancer sends the
-/// next try to another instance.
-const STOP_STREAMS: Duration = Duration::from_millis(2_300);
-/// Time before the end of the grace time at which the process ends with answers still open.
+/// Shortest time from a stop signal to the exit: the load balancer checks readiness once a second
+/// and removes an instance after two failures, so new connections still arrive.
+const MIN_STOP_TIME: Duration = Duration::from_millis(3_200);
+/// Time after a stop signal from which new streams are refused: by then the load balancer sends
+/// retries to another instance.
+const STREAM_REFUSAL_DELAY: Duration = Duration::from_millis(2_300);
+/// Part of the grace period reserved for the exit itself; responses still open are cut.
 const GRACE_MARGIN: Duration = Duration::from_millis(500);
-/// Longest time to remove this instance's entry from the store when it stops.
+/// Time limit to remove this instance's entry from the store at shutdown.
 const DEREGISTER_TIMEOUT: Duration = Duration::from_secs(2);
-/// Time before the end of the process from which all new requests are refused: calls take less.
-const STOP_CALLS: Duration = Duration::from_millis(1_500);
-/// Pause between two looks at whether all answers have ended.
-const STOP_PAUSE: Duration = Duration::from_millis(20);
+/// Time before the end of the grace period from which all requests are refused; calls take less.
+const CALL_REFUSAL_MARGIN: Duration = Duration::from_millis(1_500);
+/// Period at which shutdown checks whether all requests have ended.
+const STOP_CHECK_PERIOD: Duration = Duration::from_millis(20);
 
-/// Error at the start of a gateway.
+/// Error while a gateway starts.
 #[derive(Debug, Snafu)]
 pub enum GatewayError {
-    /// The settings cannot be used.
+    /// The settings are invalid.
     #[snafu(display("{source}"))]
     GatewaySettings {
-        /// What is wrong.
+        /// Cause.
         #[snafu(source(from(SettingsFileError, Box::new)))]
         source: Box<dyn std::error::Error + Send + Sync>,
     },
-    /// An address cannot be listened at.
+    /// Binding a listener failed.
     #[snafu(display("cannot listen at {address}: {source}"))]
     Bind {
         /// The address.
@@ -69,25 +69,25 @@
         /// Error of the system.
         source: std::io::Error,
     },
-    /// The process cannot be set up.
+    /// Setting up the process failed.
     #[snafu(display("cannot set up the process: {source}"))]
     SetUp {
         /// Error of the system.
         source: std::io::Error,
     },
-    /// A metric is defined twice.
+    /// Registering the metrics failed.
     #[snafu(display("cannot define metrics: {source}"))]
     Metrics {
-        /// Error of the library.
+        /// Error of the `prometheus` library.
         source: prometheus::Error,
     },
 }
 
-/// Runs one instance with the settings at `path` until it is told to stop.
+/// Runs one instance with the settings at `path` until SIGTERM or SIGINT.
 ///
 /// # Errors
 ///
-/// Fails if the settings are not valid or an address cannot be listened at.
+/// Fails if the settings are invalid, an address cannot be bound or the process setup fails.
 pub(crate) fn run_gateway(path: &str, level: &str) -> Result<(), GatewayError> {
     let logs = LogBuffer::default();
     start_logs(&logs, level);
@@ -114,7 +114,7 @@
         .with_writer(logs.clone())
         .try_init();
     if let Err(error) = started {
-        eprintln!("cornelstand: logs are set up already: {error}");
+        eprintln!("cornelstand: logging is already initialised: {error}");
     }
 }
 
@@ -166,7 +166,7 @@
                     Role::Control,
                 )));
             }
-            // Callers are served without it.
+            // Callers can be served without the control listener.
             Err(error) => tracing::warn!(event = "control_unavailable", %error),
         }
     }
@@ -196,7 +196,7 @@
         peers.clone(),
     )));
     spawn(Box::pin(tick(gate.clone())));
-    spawn(Box::pin(clean(gate.clone())));
+    spawn(Box::pin(expire_state(gate.clone())));
     Ok(peers)
 }
 
@@ -205,14 +205,13 @@
     listener.context(BindSnafu { address })
 }
 
-/// Gives places to requests as the estimates of load fall with time, and measures how late timers
-/// are.
+/// Serves the queue as load estimates fall with time, and measures timer lag and the request rate.
 async fn tick(gate: Rc<Gate>) {
     let mut before = gate.metrics.requests.get();
     let mut ticks = 0_u32;
     loop {
-        let due = Instant::now() + TICK;
-        sleep(TICK).await;
+        let due = Instant::now() + TICK_PERIOD;
+        sleep(TICK_PERIOD).await;
         let lag = due.elapsed().as_secs_f64();
         gate.metrics.lag.observe(lag);
         gate.pauses.tick(boot_time());
@@ -220,7 +219,7 @@
             .set(gate.lag.get() + LAG_WEIGHT * (lag * 1e3 - gate.lag.get()));
         let requests = gate.metrics.requests.get();
         let count = usize::try_from(requests - before).unwrap_or(usize::MAX);
-        let rate = float(count) / (TICK.as_secs_f64() + lag);
+        let rate = float(count) / (TICK_PERIOD.as_secs_f64() + lag);
         gate.activity
             .set(gate.activity.get() + RATE_WEIGHT * (rate - gate.activity.get()));
         before = requests;
@@ -231,15 +230,15 @@
     }
 }
 
-async fn clean(gate: Rc<Gate>) {
-    let mut ticks = interval(CLEAN_PERIOD);
+async fn expire_state(gate: Rc<Gate>) {
+    let mut ticks = interval(EXPIRY_PERIOD);
     ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
     let mut before = gate.now();
     loop {
         ticks.tick().await;
         let now = gate.now();
         let mut state = gate.state.borrow_mut();
-        let lapsed = state.directory.expire(now);
+        let expired = state.directory.expire(now);
         state.endpoints.forget_parts(now);
         state.pool.expire();
         state.suspects.forgive(now);
@@ -249,13 +248,13 @@
         state.peers.forget(now);
         drop(state);
         gate.count_peers();
-        gate.apply(lapsed);
+        gate.apply(expired);
         gate.note_load();
         before = now;
     }
 }
 
-/// Takes in changes of the settings file.
+/// Applies changes of the settings file, after a SIGHUP at once.
 async fn reload(gate: Rc<Gate>, path: String, mut hangup: Signal) {
     loop {
         let is_asked = timeout(RELOAD_PERIOD, hangup.recv()).await.is_ok();
@@ -267,12 +266,12 @@
                 }
                 gate.settings.replace(settings);
             }
-            Err(error) => tracing::error!(event = "reload_failed", %error, "the settings stay"),
+            Err(error) => tracing::error!(event = "reload_failed", %error, "settings unchanged"),
         }
     }
 }
 
-/// Stops without cutting answers, as far as the grace time allows.
+/// Shuts down; open responses may complete within the grace period.
 async fn stop(gate: &Rc<Gate>, peers: &UdpSocket) {
     let started = Instant::now();
     let grace = gate.settings.borrow().grace.saturating_sub(GRACE_MARGIN);
@@ -283,9 +282,9 @@
         grace_ms = grace.as_millis()
     );
     peers_link::send_beat(gate, peers);
-    let gone = gate.clone();
+    let gate_clone = gate.clone();
     tokio::task::spawn_local(async move {
-        if timeout(DEREGISTER_TIMEOUT, deregister(&gone))
+        if timeout(DEREGISTER_TIMEOUT, deregister(&gate_clone))
             .await
             .is_err()
         {
@@ -293,19 +292,19 @@
         }
     });
     while started.elapsed() < grace {
-        let closing = if started.elapsed() + STOP_CALLS >= grace {
+        let closing = if started.elapsed() + CALL_REFUSAL_MARGIN >= grace {
             Closing::Everything
-        } else if started.elapsed() >= STOP_STREAMS {
+        } else if started.elapsed() >= STREAM_REFUSAL_DELAY {
             Closing::Streams
         } else {
             Closing::Nothing
         };
         gate.closing.set(closing);
-        let is_done = gate.active.get() == 0 && started.elapsed() >= STOP_ACCEPT;
+        let is_done = gate.active.get() == 0 && started.elapsed() >= MIN_STOP_TIME;
         if is_done {
             break;
         }
-        sleep(STOP_PAUSE).await;
+        sleep(STOP_CHECK_PERIOD).await;
     }
     tracing::info!(event = "stopped", cut = gate.active.get());
 }
--- a/cornelstand/src/gateway/upstream.rs
+++ b/cornelstand/src/gateway/upstream.rs
@@ -1,6 +1,6 @@
 //! Connections to endpoints and to the store.
 //!
-//! A connection carries one request at a time and is used again only if nothing is left on it.
+//! A connection carries one request at a time and is reused only if no unread bytes remain.
 
 use std::collections::HashMap;
 use std::io;
@@ -18,22 +18,22 @@
 use crate::gateway::message::{BodyReader, Head, MessageError};
 use crate::gateway::outlet::write_all;
 
-/// Time after which unacknowledged bytes, or keep-alive probes, give a connection up.
-const DEAD_TIMEOUT: Duration = Duration::from_millis(2_500);
-/// Time between keep-alive probes on a connection that is silent.
+/// `TCP_USER_TIMEOUT`: how long sent bytes or probes may stay unacknowledged.
+const UNACKED_TIMEOUT: Duration = Duration::from_millis(2_500);
+/// Idle time before the first keep-alive probe, and between probes.
 const PROBE_PERIOD: Duration = Duration::from_secs(1);
-/// Probes without an answer that give a connection up.
-const PROBES: u32 = 2;
-/// Longest time for which a connection is kept idle: endpoints may close it sooner than they say.
-const IDLE_MAX: Duration = Duration::from_secs(4);
-/// Margin before an endpoint's own idle limit, for a request that crosses the close.
+/// Unanswered keep-alive probes after which a connection is closed.
+const MAX_PROBES: u32 = 2;
+/// Longest time a connection stays pooled: endpoints may close it earlier than they announce.
+const MAX_IDLE: Duration = Duration::from_secs(4);
+/// Margin before an endpoint's announced idle timeout, so that no request is sent as it closes.
 const IDLE_MARGIN: Duration = Duration::from_millis(700);
-/// Most heads that only announce an answer.
-const INTERIM_COUNT: u32 = 16;
-/// Most idle connections kept to one endpoint.
-const IDLE_COUNT: usize = 32;
+/// Most interim (1xx) responses before the final one.
+const MAX_INTERIM_RESPONSES: u32 = 16;
+/// Most idle connections pooled per endpoint.
+const MAX_IDLE_CONNECTIONS: usize = 32;
 
-/// Error of reading an answer.
+/// Error while reading a response.
 #[derive(Debug, Display, From)]
 pub(crate) enum ReadError {
     #[display("the connection failed: {_0}")]
@@ -48,12 +48,12 @@
 #[derive(Debug)]
 pub(crate) struct Upstream {
     pub(crate) stream: TcpStream,
-    /// Bytes read and not yet used.
+    /// Bytes read but not yet consumed.
     pub(crate) input: BytesMut,
 }
 
 impl Upstream {
-    /// Opens a connection.
+    /// Opens a connection within `time`.
     ///
     /// # Errors
     ///
@@ -61,17 +61,17 @@
     pub(crate) async fn connect(address: SocketAddr, time: Duration) -> io::Result<Self> {
         let stream = timeout(time, TcpStream::connect(address)).await;
         let stream = stream.map_err(|_| io::Error::from(io::ErrorKind::TimedOut))??;
-        tune(&stream);
+        set_socket_options(&stream);
         Ok(Self {
             stream,
             input: BytesMut::new(),
         })
     }
 
-    /// Whether the connection is open and nothing came on it unasked.
+    /// Whether the connection is open and has no unread input.
     pub(crate) fn is_clean(&self) -> bool {
-        // The socket is asked itself: the runtime knows only what came before its last poll, which
-        // is long ago in a process that was paused.
+        // Peeks at the socket itself: the runtime's readiness dates from its last poll, which is
+        // long ago in a process that was paused.
         let read = SockRef::from(&self.stream).peek(&mut [MaybeUninit::uninit()]);
         let is_silent = matches!(&read, Err(e) if e.kind() == io::ErrorKind::WouldBlock);
         self.input.is_empty() && is_silent
@@ -81,7 +81,7 @@
     ///
     /// # Errors
     ///
-    /// Fails if the connection does, or is closed.
+    /// Fails on an I/O error or if the connection is closed.
     pub(crate) async fn read_more(&mut self) -> Result<(), ReadError> {
         match read_into(&self.stream, &mut self.input).await? {
             0 => Err(ReadError::Closed),
@@ -89,18 +89,18 @@
         }
     }
 
-    /// Reads the head of an answer, without those that only announce one.
+    /// Reads the head of the final response and skips interim (1xx) ones.
     ///
     /// # Errors
     ///
-    /// Fails if the connection does or the bytes are no answer.
-    pub(crate) async fn answer_head(&mut self, limit: usize) -> Result<Head, ReadError> {
+    /// Fails if the connection fails or the response is malformed.
+    pub(crate) async fn response_head(&mut self, limit: usize) -> Result<Head, ReadError> {
         let mut interim = 0;
         loop {
             match Head::answer(&mut self.input, limit)? {
                 Some(head) if head.status() < 200 => {
                     interim += 1;
-                    if interim > INTERIM_COUNT {
+                    if interim > MAX_INTERIM_RESPONSES {
                         return Err(MessageError::BadHead.into());
                     }
                 }
@@ -110,11 +110,11 @@
         }
     }
 
-    /// Sends a whole request and reads its whole answer.
+    /// Sends a request and reads the complete response.
     ///
     /// # Errors
     ///
-    /// Fails if the connection does, or the answer is malformed or larger than the limits.
+    /// Fails if the connection fails, or the response is malformed or exceeds the limits.
     pub(crate) async fn exchange(
         &mut self,
         method: &str,
@@ -122,18 +122,18 @@
         (head_limit, body_limit): (usize, usize),
     ) -> Result<(Head, Bytes), ReadError> {
         write_all(&self.stream, request).await?;
-        let head = self.answer_head(head_limit).await?;
+        let head = self.response_head(head_limit).await?;
         let mut reader = head.answer_body(method)?;
-        let body = self.whole_body(&mut reader, body_limit).await?;
+        let body = self.read_body(&mut reader, body_limit).await?;
         Ok((head, body))
     }
 
-    /// Reads a body to its end.
+    /// Reads a complete body.
     ///
     /// # Errors
     ///
-    /// Fails if the body is cut, badly framed or longer than `limit`.
-    pub(crate) async fn whole_body(
+    /// Fails if the body is truncated, badly framed or longer than `limit`.
+    pub(crate) async fn read_body(
         &mut self,
         reader: &mut BodyReader,
         limit: usize,
@@ -155,10 +155,10 @@
     }
 }
 
-/// Reads what is there into `input`; zero if the peer closed.
+/// Waits for input and appends it to `input`; returns zero if the peer closed the connection.
 pub(crate) async fn read_into(stream: &TcpStream, input: &mut BytesMut) -> io::Result<usize> {
     loop {
-        // A peer that always has bytes ready would otherwise keep the thread from all others.
+        // A peer that always has bytes ready would otherwise starve all other tasks.
         consume_budget().await;
         input.reserve(4096);
         match stream.try_read_buf(input) {
@@ -168,19 +168,19 @@
     }
 }
 
-/// Sets what finds a dead peer. A socket that refuses an option still works without it.
-pub(crate) fn tune(stream: &TcpStream) {
+/// Enables `TCP_NODELAY` and dead-peer detection. Errors are only logged: both are optional.
+pub(crate) fn set_socket_options(stream: &TcpStream) {
     let socket = SockRef::from(stream);
     let probes = TcpKeepalive::new()
         .with_time(PROBE_PERIOD)
         .with_interval(PROBE_PERIOD)
-        .with_retries(PROBES);
-    let tuned = [
+        .with_retries(MAX_PROBES);
+    let results = [
         stream.set_nodelay(true),
         socket.set_tcp_keepalive(&probes),
-        socket.set_tcp_user_timeout(Some(DEAD_TIMEOUT)),
+        socket.set_tcp_user_timeout(Some(UNACKED_TIMEOUT)),
     ];
-    if let Some(error) = tuned.into_iter().find_map(Result::err) {
+    if let Some(error) = results.into_iter().find_map(Result::err) {
         tracing::debug!(event = "socket_option_refused", %error);
     }
 }
@@ -198,7 +198,7 @@
 }
 
 impl Pool {
-    /// Takes a connection on which a request may be sent.
+    /// Takes a connection that can be reused, and drops stale ones.
     pub(crate) fn take(&mut self, address: SocketAddr) -> Option<Upstream> {
         let now = Instant::now();
         let idle = self.idle.get_mut(&address)?;
@@ -210,22 +210,22 @@
         None
     }
 
-    /// Keeps a connection that stays open for `idle` after its last answer.
+    /// Pools a connection that the endpoint keeps open for `idle`, if it announced a time.
     pub(crate) fn put(&mut self, address: SocketAddr, upstream: Upstream, idle: Option<Duration>) {
-        let time = idle.map_or(IDLE_MAX, |i| i.saturating_sub(IDLE_MARGIN));
-        let until = Instant::now() + time.min(IDLE_MAX);
-        let kept = self.idle.entry(address).or_default();
-        if kept.len() < IDLE_COUNT {
-            kept.push(Idle { upstream, until });
+        let time = idle.map_or(MAX_IDLE, |i| i.saturating_sub(IDLE_MARGIN));
+        let until = Instant::now() + time.min(MAX_IDLE);
+        let pooled = self.idle.entry(address).or_default();
+        if pooled.len() < MAX_IDLE_CONNECTIONS {
+            pooled.push(Idle { upstream, until });
         }
     }
 
-    /// Closes connections that were idle for too long.
+    /// Closes connections whose idle time has expired.
     pub(crate) fn expire(&mut self) {
         let now = Instant::now();
-        self.idle.retain(|_, kept| {
-            kept.retain(|i| now < i.until);
-            !kept.is_empty()
+        self.idle.retain(|_, pooled| {
+            pooled.retain(|i| now < i.until);
+            !pooled.is_empty()
         });
     }
 }
