--- a/cornelstand/src/lease.rs
+++ b/cornelstand/src/lease.rs
@@ -1,11 +1,11 @@
 //! Ownership of a cell: the lease object and the messages about it.
 //!
 //! Each endpoint's limit is divided into two halves, `kept` and `spare`. The lease object names
-//! one holder for each half, and a half moves to another holder only by a conditional update that
-//! its present holder agreed to or that follows proof that its process has ended. The owner
-//! normally holds `kept`, another instance, the heir, holds `spare` and lends it to the owner for a
-//! few seconds at a time. So nobody needs the store to keep serving, and two instances that both
-//! act as the owner use different halves. `docs/design/leases.md` gives the argument.
+//! one holder for each half. A half moves to another holder only by a conditional update, either
+//! with the consent of its present holder or after proof that the holder's process has ended. The
+//! owner normally holds `kept`; another instance, the heir, holds `spare` and lends it to the owner
+//! for a few seconds at a time. Serving thus continues without the store, and two instances that
+//! both act as owner use different halves. `docs/design/leases.md` gives the argument.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -17,7 +17,7 @@
 use crate::name::{CellId, Epoch, Incarnation, InstanceName};
 use crate::store::{Condition, Version};
 
-/// Part of every endpoint's limit that an owner may use.
+/// Share of every endpoint's limit that an owner may use.
 #[derive(Clone, Copy, Debug, Deserialize, Display, Eq, IsVariant, PartialEq, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Part {
@@ -30,7 +30,7 @@
 }
 
 impl Part {
-    /// The part of `limit`.
+    /// Returns this part of `limit`.
     #[must_use]
     pub fn of(self, limit: u32) -> u32 {
         match self {
@@ -40,7 +40,7 @@
         }
     }
 
-    /// The part that consists of the given halves.
+    /// Combines the halves that may be used.
     #[must_use]
     pub fn from_halves(kept: bool, spare: bool) -> Option<Self> {
         match (kept, spare) {
@@ -59,38 +59,38 @@
 pub struct Holder {
     /// Name of the instance.
     pub name: InstanceName,
-    /// Start of the process.
+    /// Distinguishes restarts.
     pub incarnation: Incarnation,
-    /// Address of the process for its peers.
+    /// Address that peers connect to.
     pub address: SocketAddr,
 }
 
-/// Value of a lease object.
+/// Stored value of a lease.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct Lease {
     /// The cell.
     pub cell: CellId,
-    /// Epoch of the owner, an even number. The heir acts with the next odd one.
+    /// Epoch of the owner, always even. The heir acts under the next odd number.
     pub epoch: Epoch,
     /// The owner.
     pub owner: Holder,
-    /// Who may use the half that is rounded up.
+    /// Holder of the half that is rounded up.
     pub kept: Holder,
-    /// Who may use the half that is rounded down: the heir, or the owner if there is none.
+    /// Holder of the half that is rounded down: the heir, or the owner if there is none.
     pub spare: Holder,
-    /// Counts the owner's renewals, so that every write differs.
+    /// Number of renewals; makes every written value distinct.
     pub renewals: u64,
 }
 
 impl Lease {
-    /// Tells whether `holder` is named for any half.
+    /// Returns whether `holder` holds either half.
     #[must_use]
     pub fn is_holder(&self, holder: &Holder) -> bool {
         self.kept == *holder || self.spare == *holder
     }
 
-    /// Name of the lease object of `cell`.
+    /// Object name of the lease of `cell`.
     #[must_use]
     pub fn name(cell: &CellId) -> String {
         format!("{}~{}", cell.service, cell.index)
@@ -103,13 +103,13 @@
 pub struct LeaseTiming {
     /// Time without a renewal after which another instance may take the lease.
     pub length: Duration,
-    /// Time between renewals, and between reads of others that watch the lease.
+    /// Interval of renewals, and of reads by other instances that watch the lease.
     pub renew: Duration,
-    /// Time for which a holder lends its half.
+    /// Duration of a loan of a half.
     pub loan: Duration,
-    /// Time between requests for a loan.
+    /// Interval of loan requests.
     pub borrow: Duration,
-    /// Added by whoever waits for another's clock.
+    /// Clock tolerance, added to waits on a peer.
     pub margin: Duration,
 }
 
@@ -125,21 +125,21 @@
     }
 }
 
-/// What an instance may do as acting owner of a cell.
+/// Rights of an instance as acting owner of a cell.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct Tenure {
     /// Epoch for all messages about the cell.
     pub epoch: Epoch,
     /// Part of the limits until `until`.
     pub part: Part,
-    /// End of `part` on the own monotonic clock, to be checked at each grant.
+    /// End of `part` on the local monotonic clock, checked at each grant.
     pub until: Moment,
-    /// Part of the limits afterwards, `None` for nothing.
+    /// Part of the limits from `until` on, if any.
     pub after: Option<Part>,
 }
 
 impl Tenure {
-    /// The part at `now`.
+    /// Part usable at `now`.
     #[must_use]
     pub fn part_at(&self, now: Moment) -> Option<Part> {
         if now < self.until {
@@ -150,7 +150,7 @@
     }
 }
 
-/// Request of an acting owner to use the receiver's half for a while.
+/// Request of an acting owner to borrow the receiver's half.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Borrow {
     /// The cell.
@@ -159,13 +159,13 @@
     pub from: Holder,
     /// Its epoch.
     pub epoch: Epoch,
-    /// The lease as the asker knows it, so that the holder needs not read it.
+    /// The lease as the sender knows it, which saves the holder a read.
     pub lease: Lease,
     /// Version of `lease`.
     pub version: Version,
-    /// Time for which it asks.
+    /// Requested duration.
     pub span: Duration,
-    /// Counts the asker's requests.
+    /// Sequence number of the request.
     pub number: u64,
 }
 
@@ -173,21 +173,21 @@
 #[derive(Clone, Debug, Deserialize, Eq, IsVariant, PartialEq, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum BorrowReply {
-    /// The half is lent for the time asked, counted from when the request was sent.
+    /// The half is lent for the requested time, counted from when the request was sent.
     Lent {
-        /// Version of the lease object in whose update the asker may name itself as holder.
+        /// Version of the lease in whose update the borrower may make itself the holder.
         free: Option<Version>,
     },
     /// The half is not lent.
     Refused {
-        /// Highest epoch that the holder knows.
+        /// Highest epoch known to the holder.
         epoch: Epoch,
-        /// Who acts with it.
+        /// Owner of that epoch.
         owner: InstanceName,
     },
 }
 
-/// Word of a former owner that it has stopped and returns what it borrowed.
+/// Notice of a former owner that it has stopped and returns its loans.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct Yield {
@@ -201,35 +201,35 @@
     pub number: u64,
 }
 
-/// What the membership tells about the candidates of a cell.
+/// Membership information about the candidates of a cell.
 #[derive(Clone, Debug, Default, Eq, PartialEq)]
 pub struct LeaseView {
-    /// Live members that may own the cell, best first.
+    /// Live members eligible to own the cell, best first.
     pub ranked: Vec<Holder>,
-    /// Processes among the lease's holders that the membership has lost.
+    /// Processes among the lease's holders that the membership cannot reach.
     pub lost: Vec<Holder>,
-    /// Processes among the lease's holders that have certainly ended.
+    /// Processes among the lease's holders that are known to have ended.
     pub gone: Vec<Holder>,
 }
 
-/// Input of the lease machine.
+/// Input of the lease state machine.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum LeaseInput {
-    /// Time passed. Expected a few times a second.
+    /// Periodic tick, a few times a second.
     Tick,
     /// The write took effect.
     Stored(Version),
-    /// The write's condition does not hold; nothing was written.
+    /// The write's condition failed; nothing was written.
     Conflict,
-    /// The write was not taken, or the read failed; nothing was written.
+    /// The write was rejected or the read failed; nothing was written.
     Unreachable,
-    /// No answer; a write may have taken effect or may do so later.
+    /// No response; a write may have taken effect or may do so later.
     Unknown,
     /// Result of a read.
     Read(Option<(Version, Lease)>),
-    /// The membership has changed.
+    /// The membership changed.
     View(LeaseView),
-    /// Someone acts for the cell with this epoch.
+    /// An instance acts as owner with this epoch.
     Claim {
         /// Its epoch.
         epoch: Epoch,
@@ -240,20 +240,20 @@
     Reply {
         /// The holder.
         from: Holder,
-        /// Moment given with the effect that sent the request.
+        /// Time of the effect that sent the request.
         sent: Moment,
         /// The reply.
         reply: BorrowReply,
     },
-    /// The instance is about to stop, or its data centre was taken out.
+    /// The instance is stopping, or its data centre was taken out.
     Drain,
-    /// The cell's state has moved to the instance named in [`LeaseEffect::HandOver`], or cannot.
+    /// The transfer requested by [`LeaseEffect::HandOver`] has completed or failed.
     HandedOver,
-    /// The former owner has moved the cell's state here and stopped.
+    /// The former owner has transferred the cell's state here and stopped.
     TakeOver(Yield),
 }
 
-/// Effect that the shell around the lease machine carries out.
+/// Effect that the caller of the lease state machine carries out.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum LeaseEffect {
     /// Read the lease object.
@@ -265,27 +265,27 @@
         /// The new value.
         lease: Box<Lease>,
     },
-    /// Ask a holder for its half.
+    /// Request a holder's half.
     Borrow {
         /// The holder.
         to: Holder,
         /// The request.
         borrow: Box<Borrow>,
-        /// Moment to return with the reply.
+        /// Time to pass back with the reply.
         sent: Moment,
     },
     /// The instance acts as owner from now on.
     Gained(Tenure),
     /// The tenure has changed.
     Renewed(Tenure),
-    /// The instance has stopped to act as owner.
+    /// The instance no longer acts as owner.
     Lost,
-    /// The cell's state is to be moved to this instance; answered by [`LeaseInput::HandedOver`].
+    /// Transfer the cell's state to `to`; answered by [`LeaseInput::HandedOver`].
     HandOver {
         /// The next owner.
         to: Holder,
     },
-    /// Tell the next owner that this instance has stopped.
+    /// Notify the next owner that this instance has stopped.
     Yield {
         /// The next owner.
         to: Holder,
