--- a/cornelstand/src/keeper.rs
+++ b/cornelstand/src/keeper.rs
@@ -1,9 +1,9 @@
 //! State machine of one instance for the lease of one cell.
 //!
 //! Every instance runs one for each cell. Most of them are idle: only the owner writes, and only
-//! holders of a half and the best candidate for a cell without an owner read. The machine has one
-//! store call under way at most, and treats a write whose answer was lost as both done and not
-//! done until a higher version of the object is known.
+//! holders of a half and the best candidate for a cell without an owner read. At most one store
+//! call is in flight. A write whose response was lost counts as both applied and not applied until
+//! a higher version of the object is known.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -16,16 +16,16 @@
 use crate::name::{CellId, Epoch, InstanceName};
 use crate::store::Version;
 
-/// End of the use of an own half.
+/// End of use of a half held locally.
 pub(crate) const FOREVER: Moment = Moment(u64::MAX);
 
-/// Time for an owner's last write, which names the next owner, to be seen.
-pub(crate) const TRANSFER: Duration = Duration::from_millis(500);
+/// Wait for the former owner's last write, which names the next owner.
+pub(crate) const TRANSFER_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// Distance of the epochs of two owners; the one between is the heir's.
+/// Difference of successive owners' epochs; the heir acts under the one between.
 pub(crate) const EPOCH_STEP: u64 = 2;
 
-/// The lease machine.
+/// Lease state machine.
 #[derive(Clone, Debug)]
 pub struct Keeper {
     pub(crate) me: Holder,
@@ -34,27 +34,27 @@
     pub(crate) view: LeaseView,
     pub(crate) object: Option<(Version, Lease)>,
     pub(crate) is_absent: bool,
-    pub(crate) unchanged: Option<Moment>,
+    pub(crate) unchanged_since: Option<Moment>,
     pub(crate) call: Option<Call>,
-    pub(crate) doubts: Vec<Lease>,
-    pub(crate) due: Moment,
-    pub(crate) until: Moment,
+    pub(crate) uncertain_writes: Vec<Lease>,
+    pub(crate) next_call: Moment,
+    pub(crate) lease_end: Moment,
     pub(crate) claim: Option<(Epoch, InstanceName)>,
-    pub(crate) heard: Option<Moment>,
-    pub(crate) acting: Option<Epoch>,
-    pub(crate) told: Option<Tenure>,
+    pub(crate) last_claim: Option<Moment>,
+    pub(crate) acting_epoch: Option<Epoch>,
+    pub(crate) reported: Option<Tenure>,
     pub(crate) lent: Option<Loan>,
-    pub(crate) loans: BTreeMap<Holder, Moment>,
-    pub(crate) freed: BTreeMap<Holder, Version>,
+    pub(crate) borrowed: BTreeMap<Holder, Moment>,
+    pub(crate) released: BTreeMap<Holder, Version>,
     pub(crate) offered: Option<(InstanceName, Version)>,
     pub(crate) gone: BTreeMap<Holder, Moment>,
-    pub(crate) asked: Option<Moment>,
+    pub(crate) last_borrow: Option<Moment>,
     pub(crate) number: u64,
-    pub(crate) returned: Moment,
-    pub(crate) is_blind: bool,
+    pub(crate) returned_at: Moment,
+    pub(crate) is_disconnected: bool,
     pub(crate) is_stale: bool,
     pub(crate) drain: Drain,
-    pub(crate) target: Option<Holder>,
+    pub(crate) successor: Option<Holder>,
     pub(crate) yielded: Option<(Epoch, Moment)>,
 }
 
@@ -74,13 +74,13 @@
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub(crate) enum Drain {
     No,
-    Wanted,
+    Requested,
     Moving,
     Moved,
 }
 
 impl Keeper {
-    /// The machine of `me` for `cell`, knowing nothing.
+    /// Creates the machine of `me` for `cell`.
     #[must_use]
     pub fn new(me: Holder, cell: CellId, timing: LeaseTiming) -> Self {
         Self {
@@ -90,41 +90,41 @@
             view: LeaseView::default(),
             object: None,
             is_absent: false,
-            unchanged: None,
+            unchanged_since: None,
             call: None,
-            doubts: Vec::new(),
-            due: Moment::default(),
-            until: Moment::default(),
+            uncertain_writes: Vec::new(),
+            next_call: Moment::default(),
+            lease_end: Moment::default(),
             claim: None,
-            heard: None,
-            acting: None,
-            told: None,
+            last_claim: None,
+            acting_epoch: None,
+            reported: None,
             lent: None,
-            loans: BTreeMap::new(),
-            freed: BTreeMap::new(),
+            borrowed: BTreeMap::new(),
+            released: BTreeMap::new(),
             offered: None,
             gone: BTreeMap::new(),
-            asked: None,
+            last_borrow: None,
             number: 0,
-            returned: Moment::default(),
-            is_blind: false,
+            returned_at: Moment::default(),
+            is_disconnected: false,
             is_stale: false,
             drain: Drain::No,
-            target: None,
+            successor: None,
             yielded: None,
         }
     }
 
-    /// The cell.
+    /// The leased cell.
     #[must_use]
     pub fn cell(&self) -> &CellId {
         &self.cell
     }
 
-    /// What this instance may do now, `None` if it does not act as owner.
+    /// Current tenure, `None` if this instance does not act as owner.
     #[must_use]
     pub fn tenure(&self) -> Option<Tenure> {
-        self.told
+        self.reported
     }
 
     /// The lease as last read or written.
@@ -133,63 +133,63 @@
         self.object.as_ref().map(|(_, lease)| lease)
     }
 
-    /// Highest epoch known and who acts with it.
+    /// Highest known epoch and its owner.
     #[must_use]
     pub fn claim(&self) -> Option<(Epoch, &InstanceName)> {
         self.claim.as_ref().map(|(epoch, owner)| (*epoch, owner))
     }
 
-    /// Takes in `input` and adds what is to be done to `out`.
+    /// Processes `input` and appends the effects to `out`.
     pub fn handle(&mut self, now: Moment, input: LeaseInput, out: &mut Vec<LeaseEffect>) {
-        self.heard = self.heard.or(Some(now));
+        self.last_claim = self.last_claim.or(Some(now));
         let is_fresh = matches!(input, LeaseInput::Stored(_) | LeaseInput::Read(_));
         match input {
             LeaseInput::Tick => {}
-            LeaseInput::Stored(version) => self.stored(now, version),
-            LeaseInput::Conflict => self.conflicted(now),
-            LeaseInput::Unreachable => self.unreachable(now),
-            LeaseInput::Unknown => self.unknown(now),
-            LeaseInput::Read(object) => self.read(now, object),
-            LeaseInput::View(view) => self.see(now, view),
+            LeaseInput::Stored(version) => self.handle_stored(now, version),
+            LeaseInput::Conflict => self.handle_conflict(now),
+            LeaseInput::Unreachable => self.handle_unreachable(now),
+            LeaseInput::Unknown => self.handle_unknown(now),
+            LeaseInput::Read(object) => self.handle_read(now, object),
+            LeaseInput::View(view) => self.update_view(now, view),
             LeaseInput::Claim { epoch, owner } => {
-                self.hear(now, epoch, &owner);
-                if epoch == self.highest() {
-                    self.heard = Some(now);
+                self.observe_epoch(now, epoch, &owner);
+                if epoch == self.highest_epoch() {
+                    self.last_claim = Some(now);
                 }
             }
-            LeaseInput::Reply { from, sent, reply } => self.replied(now, from, sent, reply),
+            LeaseInput::Reply { from, sent, reply } => self.handle_reply(now, from, sent, reply),
             LeaseInput::Drain => self.start_drain(),
-            LeaseInput::HandedOver => self.handed_over(now, out),
+            LeaseInput::HandedOver => self.finish_hand_over(now, out),
             LeaseInput::TakeOver(word) => self.take_over(now, &word),
         }
-        self.act(now);
+        self.start_acting(now);
         if is_fresh && self.is_urgent(now) {
-            self.due = now;
+            self.next_call = now;
         }
-        self.tell(now, out);
-        self.hand_over(out);
-        self.ask(now, out);
+        self.report_tenure(now, out);
+        self.choose_successor(out);
+        self.request_loans(now, out);
         self.call_store(now, out);
-        // A write that gives a half away ends its use before the write is sent.
-        self.tell(now, out);
+        // Use of a half ends before a write that gives it away is sent.
+        self.report_tenure(now, out);
     }
 
-    /// Answers an acting owner that asks for this instance's half.
+    /// Answers an acting owner's request for this instance's half.
     pub fn lend(
         &mut self,
         now: Moment,
         borrow: &Borrow,
         out: &mut Vec<LeaseEffect>,
     ) -> BorrowReply {
-        if borrow.epoch < self.highest() {
+        if borrow.epoch < self.highest_epoch() {
             return self.refusal();
         }
         if borrow.version > self.version() {
-            self.learn(now, borrow.version, borrow.lease.clone());
+            self.update_lease(now, borrow.version, borrow.lease.clone());
         }
-        self.hear(now, borrow.epoch, &borrow.from.name);
-        if self.acting.is_some() || !self.may_lend(now, &borrow.from) {
-            self.tell(now, out);
+        self.observe_epoch(now, borrow.epoch, &borrow.from.name);
+        if self.acting_epoch.is_some() || !self.may_lend(now, &borrow.from) {
+            self.report_tenure(now, out);
             return self.refusal();
         }
         self.lent = Some(Loan {
@@ -197,11 +197,11 @@
             number: borrow.number,
             until: now.after(borrow.span + self.timing.margin),
         });
-        let free = self.gives_up(borrow);
+        let free = self.releases_half(borrow);
         if free {
             self.offered = Some((borrow.from.name.clone(), borrow.version));
         }
-        self.tell(now, out);
+        self.report_tenure(now, out);
         BorrowReply::Lent {
             free: free.then_some(borrow.version),
         }
@@ -215,7 +215,7 @@
         BorrowReply::Refused { epoch, owner }
     }
 
-    /// Whether no other instance has, or may come to have, the use of this one's halves.
+    /// Whether this instance's halves are neither lent nor released to another instance.
     pub(crate) fn may_lend(&self, now: Moment, to: &Holder) -> bool {
         let is_lent = self
             .lent
@@ -228,9 +228,9 @@
         !is_lent && !is_offered
     }
 
-    /// Whether the halves may go to the asker for good: it owns the cell in the store, and this
-    /// instance has no use for them.
-    pub(crate) fn gives_up(&self, borrow: &Borrow) -> bool {
+    /// Whether the halves may pass to the borrower permanently: it owns the cell in the store, and
+    /// this instance has no use for them.
+    pub(crate) fn releases_half(&self, borrow: &Borrow) -> bool {
         let is_owner = borrow.epoch.0.is_multiple_of(EPOCH_STEP);
         let Some((version, lease)) = &self.object else {
             return false;
@@ -240,18 +240,18 @@
         is_owner && borrow.version >= *version && (is_former || is_unfit)
     }
 
-    pub(crate) fn highest(&self) -> Epoch {
+    pub(crate) fn highest_epoch(&self) -> Epoch {
         self.claim.as_ref().map_or(Epoch(0), |(epoch, _)| *epoch)
     }
 
-    pub(crate) fn see(&mut self, now: Moment, view: LeaseView) {
+    pub(crate) fn update_view(&mut self, now: Moment, view: LeaseView) {
         self.view = view;
         for holder in &self.view.gone {
             self.gone.entry(holder.clone()).or_insert(now);
         }
-        if self.acting.is_some() && !self.view.ranked.is_empty() && !self.is_ranked() {
+        if self.acting_epoch.is_some() && !self.view.ranked.is_empty() && !self.is_ranked() {
             self.start_drain();
-        } else if self.drain == Drain::Moved && self.is_ranked() && self.acting.is_none() {
+        } else if self.drain == Drain::Moved && self.is_ranked() && self.acting_epoch.is_none() {
             self.drain = Drain::No;
         }
     }
@@ -260,59 +260,67 @@
         self.view.ranked.contains(&self.me)
     }
 
-    pub(crate) fn hear(&mut self, now: Moment, epoch: Epoch, owner: &InstanceName) {
-        if epoch <= self.highest() {
+    pub(crate) fn observe_epoch(&mut self, now: Moment, epoch: Epoch, owner: &InstanceName) {
+        if epoch <= self.highest_epoch() {
             return;
         }
         let is_mine = *owner == self.me.name;
         self.claim = Some((epoch, owner.clone()));
-        let Some(mine) = self.acting else { return };
+        let Some(mine) = self.acting_epoch else {
+            return;
+        };
         if is_mine || epoch <= mine {
             return;
         }
-        // An owner whose lease is valid answers its heir's claim with a higher epoch.
-        let is_owner = mine.0.is_multiple_of(EPOCH_STEP) && now < self.until;
+        // An owner with a valid lease answers its heir's claim with a higher epoch.
+        let is_owner = mine.0.is_multiple_of(EPOCH_STEP) && now < self.lease_end;
         let is_heir = is_owner && epoch.0 == mine.0 + 1;
         if is_heir {
-            self.due = now;
+            self.next_call = now;
         } else {
-            self.acting = None;
+            self.acting_epoch = None;
         }
     }
 
-    pub(crate) fn replied(&mut self, now: Moment, from: Holder, sent: Moment, reply: BorrowReply) {
+    pub(crate) fn handle_reply(
+        &mut self,
+        now: Moment,
+        from: Holder,
+        sent: Moment,
+        reply: BorrowReply,
+    ) {
         match reply {
-            BorrowReply::Lent { .. } if sent <= self.returned => {}
+            BorrowReply::Lent { .. } if sent <= self.returned_at => {}
             BorrowReply::Lent { free } => {
                 let until = sent.after(self.timing.loan);
-                let known = self.loans.entry(from.clone()).or_default();
+                let known = self.borrowed.entry(from.clone()).or_default();
                 *known = until.max(*known);
                 let Some(version) = free else { return };
-                if self.freed.insert(from, version) != Some(version) {
-                    self.due = now;
+                if self.released.insert(from, version) != Some(version) {
+                    self.next_call = now;
                 }
             }
-            BorrowReply::Refused { epoch, owner } => self.hear(now, epoch, &owner),
+            BorrowReply::Refused { epoch, owner } => self.observe_epoch(now, epoch, &owner),
         }
     }
 
     pub(crate) fn start_drain(&mut self) {
         if self.drain == Drain::No {
-            self.drain = Drain::Wanted;
+            self.drain = Drain::Requested;
         }
     }
 
-    /// Stops to act, returns what was borrowed and says so to the next owner.
-    pub(crate) fn handed_over(&mut self, now: Moment, out: &mut Vec<LeaseEffect>) {
+    /// Stops acting as owner, returns loans and notifies the next owner.
+    pub(crate) fn finish_hand_over(&mut self, now: Moment, out: &mut Vec<LeaseEffect>) {
         if self.drain != Drain::Moving {
             return;
         }
-        let epoch = self.acting.take();
+        let epoch = self.acting_epoch.take();
         self.drain = Drain::Moved;
-        self.due = now;
-        self.loans.clear();
-        self.returned = now;
-        if let (Some(epoch), Some(to)) = (epoch, self.target.clone()) {
+        self.next_call = now;
+        self.borrowed.clear();
+        self.returned_at = now;
+        if let (Some(epoch), Some(to)) = (epoch, self.successor.clone()) {
             let word = Yield {
                 cell: self.cell.clone(),
                 from: self.me.clone(),
@@ -328,14 +336,14 @@
         if self.lent.as_ref().is_some_and(is_returned) {
             self.lent = None;
         }
-        if word.epoch >= self.highest() {
+        if word.epoch >= self.highest_epoch() {
             self.yielded = Some((word.epoch, now));
             self.is_stale = true;
-            self.due = now;
+            self.next_call = now;
         }
     }
 
-    pub(crate) fn stored(&mut self, now: Moment, version: Version) {
+    pub(crate) fn handle_stored(&mut self, now: Moment, version: Version) {
         let Some(Call {
             sent,
             write: Some(lease),
@@ -344,18 +352,18 @@
             return;
         };
         if lease.owner == self.me {
-            self.until = sent.after(self.timing.length);
+            self.lease_end = sent.after(self.timing.length);
         }
-        self.is_blind = false;
-        self.asked = None;
+        self.is_disconnected = false;
+        self.last_borrow = None;
         if version > self.version() {
-            self.learn(now, version, lease);
+            self.update_lease(now, version, lease);
         }
     }
 
-    pub(crate) fn read(&mut self, now: Moment, object: Option<(Version, Lease)>) {
+    pub(crate) fn handle_read(&mut self, now: Moment, object: Option<(Version, Lease)>) {
         self.call = None;
-        self.is_blind = false;
+        self.is_disconnected = false;
         self.is_stale = false;
         self.is_absent = object.is_none();
         let Some((version, lease)) = object else {
@@ -366,57 +374,57 @@
             return;
         }
         if version == known {
-            self.unchanged = self.unchanged.or(Some(now));
+            self.unchanged_since = self.unchanged_since.or(Some(now));
             return;
         }
-        self.learn(now, version, lease);
-        self.unchanged = Some(now);
+        self.update_lease(now, version, lease);
+        self.unchanged_since = Some(now);
     }
 
-    /// Takes in a version of the object that is higher than the one known.
-    pub(crate) fn learn(&mut self, now: Moment, version: Version, lease: Lease) {
+    /// Adopts a version of the object that is newer than the known one.
+    pub(crate) fn update_lease(&mut self, now: Moment, version: Version, lease: Lease) {
         self.is_absent = false;
-        self.unchanged = None;
-        self.doubts.clear();
-        self.hear(now, lease.epoch, &lease.owner.name);
+        self.unchanged_since = None;
+        self.uncertain_writes.clear();
+        self.observe_epoch(now, lease.epoch, &lease.owner.name);
         if self.offered.as_ref().is_some_and(|(_, v)| version > *v) {
             self.offered = None;
         }
-        if lease.owner != self.me || self.highest() != lease.epoch {
-            self.due = self.due.max(now.after(self.timing.renew));
-        } else if self.acting.is_some() && self.acting != Some(lease.epoch) {
-            self.acting = Some(lease.epoch);
+        if lease.owner != self.me || self.highest_epoch() != lease.epoch {
+            self.next_call = self.next_call.max(now.after(self.timing.renew));
+        } else if self.acting_epoch.is_some() && self.acting_epoch != Some(lease.epoch) {
+            self.acting_epoch = Some(lease.epoch);
         }
         self.object = Some((version, lease));
     }
 
-    pub(crate) fn conflicted(&mut self, now: Moment) {
+    pub(crate) fn handle_conflict(&mut self, now: Moment) {
         self.call = None;
-        self.is_blind = false;
+        self.is_disconnected = false;
         self.is_stale = true;
-        self.due = now;
+        self.next_call = now;
     }
 
-    pub(crate) fn unreachable(&mut self, now: Moment) {
+    pub(crate) fn handle_unreachable(&mut self, now: Moment) {
         self.call = None;
-        self.blind(now);
+        self.lose_store(now);
     }
 
-    pub(crate) fn unknown(&mut self, now: Moment) {
+    pub(crate) fn handle_unknown(&mut self, now: Moment) {
         if let Some(Call {
             write: Some(lease), ..
         }) = self.call.take()
         {
-            self.doubts.push(lease);
+            self.uncertain_writes.push(lease);
         }
-        self.blind(now);
+        self.lose_store(now);
     }
 
-    /// A gap in the view of the store starts the wait for the lease's end anew.
-    pub(crate) fn blind(&mut self, now: Moment) {
-        self.is_blind = true;
-        self.unchanged = None;
-        self.due = now.after(self.timing.borrow);
+    /// Restarts the wait for the lease's expiry after a failed store call.
+    pub(crate) fn lose_store(&mut self, now: Moment) {
+        self.is_disconnected = true;
+        self.unchanged_since = None;
+        self.next_call = now.after(self.timing.borrow);
     }
 
     pub(crate) fn version(&self) -> Version {
@@ -429,19 +437,19 @@
         self.view.lost.contains(holder) || self.gone.contains_key(holder)
     }
 
-    /// Starts to act where this instance is entitled to.
-    pub(crate) fn act(&mut self, now: Moment) {
+    /// Starts acting as owner if entitled to.
+    pub(crate) fn start_acting(&mut self, now: Moment) {
         let Some((_, lease)) = &self.object else {
             return;
         };
-        if self.acting.is_some() || self.offered.is_some() || self.drain == Drain::Moved {
+        if self.acting_epoch.is_some() || self.offered.is_some() || self.drain == Drain::Moved {
             return;
         }
-        let highest = self.highest();
+        let highest = self.highest_epoch();
         if lease.owner == self.me {
             if highest <= lease.epoch {
-                self.acting = Some(lease.epoch);
-                self.asked = None;
+                self.acting_epoch = Some(lease.epoch);
+                self.last_borrow = None;
             }
             return;
         }
@@ -449,17 +457,17 @@
         let is_heir = lease.spare == self.me && highest <= epoch;
         let is_alone = self.is_lost(&lease.owner) || self.is_yielded(now, lease);
         if is_heir && is_alone && !self.is_lent(now) && self.drain == Drain::No {
-            self.acting = Some(epoch);
-            self.asked = None;
+            self.acting_epoch = Some(epoch);
+            self.last_borrow = None;
             self.claim = Some((epoch, self.me.name.clone()));
         }
     }
 
-    /// Whether the owner has stopped and its last write of the lease cannot be waited for.
+    /// Whether the owner has stopped and its last write is overdue or cannot be read.
     pub(crate) fn is_yielded(&self, now: Moment, lease: &Lease) -> bool {
         self.yielded.is_some_and(|(epoch, since)| {
-            let is_late = now >= since.after(TRANSFER);
-            epoch == lease.epoch && (is_late || self.is_blind)
+            let is_late = now >= since.after(TRANSFER_TIMEOUT);
+            epoch == lease.epoch && (is_late || self.is_disconnected)
         })
     }
 
@@ -467,23 +475,25 @@
         self.lent.as_ref().is_some_and(|l| now < l.until)
     }
 
-    /// Tells the tenure if it has changed.
-    pub(crate) fn tell(&mut self, now: Moment, out: &mut Vec<LeaseEffect>) {
-        let tenure = self.acting.and_then(|epoch| self.halves(now, epoch));
-        match (&self.told, &tenure) {
+    /// Emits the tenure if it has changed.
+    pub(crate) fn report_tenure(&mut self, now: Moment, out: &mut Vec<LeaseEffect>) {
+        let tenure = self
+            .acting_epoch
+            .and_then(|epoch| self.usable_halves(now, epoch));
+        match (&self.reported, &tenure) {
             (None, Some(t)) => out.push(LeaseEffect::Gained(*t)),
             (Some(old), Some(t)) if old != t => out.push(LeaseEffect::Renewed(*t)),
             (Some(_), None) => out.push(LeaseEffect::Lost),
             _ => {}
         }
-        self.told = tenure;
+        self.reported = tenure;
     }
 
-    /// What the halves that may be used now amount to.
-    pub(crate) fn halves(&self, now: Moment, epoch: Epoch) -> Option<Tenure> {
+    /// Tenure that follows from the usable halves.
+    pub(crate) fn usable_halves(&self, now: Moment, epoch: Epoch) -> Option<Tenure> {
         let (_, lease) = self.object.as_ref()?;
-        let kept = self.use_of(now, &lease.kept, |l| &l.kept);
-        let spare = self.use_of(now, &lease.spare, |l| &l.spare);
+        let kept = self.usable_until(now, &lease.kept, |l| &l.kept);
+        let spare = self.usable_until(now, &lease.spare, |l| &l.spare);
         let part = Part::from_halves(kept.is_some(), spare.is_some())?;
         let ends = [kept, spare].into_iter().flatten();
         let until = ends.min().unwrap_or_default();
@@ -496,20 +506,20 @@
         })
     }
 
-    /// Until when this instance may use the half of `holder`, `None` if not at all.
-    pub(crate) fn use_of(
+    /// End of this instance's use of the half of `holder`, `None` if not usable.
+    pub(crate) fn usable_until(
         &self,
         now: Moment,
         holder: &Holder,
         half: impl Fn(&Lease) -> &Holder,
     ) -> Option<Moment> {
         if *holder != self.me {
-            let until = self.loans.get(holder)?;
+            let until = self.borrowed.get(holder)?;
             return (now < *until).then_some(*until);
         }
         let pending = self.call.iter().filter_map(|c| c.write.as_ref());
         let is_sure = self
-            .doubts
+            .uncertain_writes
             .iter()
             .chain(pending)
             .all(|l| *half(l) == self.me);
@@ -517,12 +527,12 @@
         (is_sure && is_free).then_some(FOREVER)
     }
 
-    /// Chooses the next owner of a cell that this instance has to leave.
-    pub(crate) fn hand_over(&mut self, out: &mut Vec<LeaseEffect>) {
-        if self.drain != Drain::Wanted {
+    /// Chooses the next owner when this instance drains.
+    pub(crate) fn choose_successor(&mut self, out: &mut Vec<LeaseEffect>) {
+        if self.drain != Drain::Requested {
             return;
         }
-        let Some((_, lease)) = self.object.as_ref().filter(|_| self.acting.is_some()) else {
+        let Some((_, lease)) = self.object.as_ref().filter(|_| self.acting_epoch.is_some()) else {
             self.drain = Drain::Moved;
             return;
         };
@@ -532,23 +542,25 @@
             return;
         };
         self.drain = Drain::Moving;
-        self.target = Some(to.clone());
+        self.successor = Some(to.clone());
         out.push(LeaseEffect::HandOver { to });
     }
 
-    /// Asks the holders of the other halves for a loan.
-    pub(crate) fn ask(&mut self, now: Moment, out: &mut Vec<LeaseEffect>) {
+    /// Requests loans from the holders of the other halves.
+    pub(crate) fn request_loans(&mut self, now: Moment, out: &mut Vec<LeaseEffect>) {
         let Some((version, lease)) = &self.object else {
             return;
         };
-        let Some(epoch) = self.acting else { return };
+        let Some(epoch) = self.acting_epoch else {
+            return;
+        };
         let is_due = self
-            .asked
+            .last_borrow
             .is_none_or(|a| now >= a.after(self.timing.borrow));
         if !is_due {
             return;
         }
-        self.asked = Some(now);
+        self.last_borrow = Some(now);
         self.number += 1;
         let spare = Some(&lease.spare).filter(|s| **s != lease.kept);
         for to in std::iter::once(&lease.kept).chain(spare) {
--- a/cornelstand/src/lease_write.rs
+++ b/cornelstand/src/lease_write.rs
@@ -1,7 +1,7 @@
-//! When a lease machine calls the store, and what it writes.
+//! Store calls of a lease state machine: when they are made and what they write.
 //!
-//! One call is under way at most. Only the owner writes in the ordinary case; another instance does
-//! when the lease is absent, free or named for it.
+//! At most one call is in flight. Normally only the owner writes. Another instance writes if the
+//! lease is absent, free or assigned to it.
 
 use crate::keeper::{Call, Drain, EPOCH_STEP, Keeper};
 use crate::lease::{Holder, Lease, LeaseEffect};
@@ -10,9 +10,9 @@
 use crate::store::Condition;
 
 impl Keeper {
-    /// Makes the next call to the store, if one is due.
+    /// Starts the next store call, if one is due.
     pub(crate) fn call_store(&mut self, now: Moment, out: &mut Vec<LeaseEffect>) {
-        if self.call.is_some() || now < self.due {
+        if self.call.is_some() || now < self.next_call {
             return;
         }
         let write = if self.is_stale {
@@ -20,10 +20,10 @@
         } else {
             self.next_write(now)
         };
-        if write.is_none() && !self.is_watching(now) {
+        if write.is_none() && !self.needs_read(now) {
             return;
         }
-        self.due = now.after(self.timing.renew);
+        self.next_call = now.after(self.timing.renew);
         self.call = Some(Call {
             sent: now,
             write: write.clone(),
@@ -37,7 +37,7 @@
         });
     }
 
-    /// Whether the next write does more than to renew the lease.
+    /// Whether the next write changes more than the renewal count.
     pub(crate) fn is_urgent(&self, now: Moment) -> bool {
         let Some(next) = self.next_write(now) else {
             return false;
@@ -56,35 +56,35 @@
     /// The lease to write now, if any.
     pub(crate) fn next_write(&self, now: Moment) -> Option<Lease> {
         let Some((_, lease)) = &self.object else {
-            return self.may_create(now).then(|| self.first());
+            return self.may_create(now).then(|| self.initial_lease());
         };
         let is_owner = lease.owner == self.me;
         if is_owner && self.drain == Drain::Moved {
             return self
-                .target
+                .successor
                 .as_ref()
-                .map(|to| self.passed_on(now, lease, to));
+                .map(|to| self.transferred_lease(now, lease, to));
         }
-        if is_owner && (self.acting.is_some() || self.may_resume(now)) {
-            return Some(self.renewed(now, lease));
+        if is_owner && (self.acting_epoch.is_some() || self.may_resume(now)) {
+            return Some(self.renewed_lease(now, lease));
         }
         if !is_owner && self.may_take(now, lease) {
             let mut taken = lease.clone();
             taken.owner = self.me.clone();
             taken.epoch = self.next_epoch(lease);
-            return Some(self.renewed(now, &taken));
+            return Some(self.renewed_lease(now, &taken));
         }
         None
     }
 
     pub(crate) fn may_create(&self, now: Moment) -> bool {
-        self.is_absent && self.is_first(now, None) && self.drain == Drain::No
+        self.is_absent && self.is_candidate(now, None) && self.drain == Drain::No
     }
 
-    pub(crate) fn first(&self) -> Lease {
+    pub(crate) fn initial_lease(&self) -> Lease {
         Lease {
             cell: self.cell.clone(),
-            epoch: Epoch((self.highest().0 / EPOCH_STEP + 1) * EPOCH_STEP),
+            epoch: Epoch((self.highest_epoch().0 / EPOCH_STEP + 1) * EPOCH_STEP),
             owner: self.me.clone(),
             kept: self.me.clone(),
             spare: self.me.clone(),
@@ -93,65 +93,68 @@
     }
 
     pub(crate) fn next_epoch(&self, lease: &Lease) -> Epoch {
-        let highest = self.highest().max(lease.epoch);
+        let highest = self.highest_epoch().max(lease.epoch);
         Epoch((highest.0 / EPOCH_STEP + 1) * EPOCH_STEP)
     }
 
-    /// Whether an owner that yielded to its heir may act again: the heir no longer borrows.
+    /// Whether an owner that yielded to its heir may resume: the heir no longer borrows.
     pub(crate) fn may_resume(&self, now: Moment) -> bool {
         let is_idle = !self.is_lent(now) && self.offered.is_none();
-        is_idle && self.drain == Drain::No && !self.is_blind
+        is_idle && self.drain == Drain::No && !self.is_disconnected
     }
 
-    /// Whether this instance may take the lease from a lost owner.
+    /// Whether this instance may take over the lease of a lost owner.
     pub(crate) fn may_take(&self, now: Moment, lease: &Lease) -> bool {
         if !self.is_ranked() || self.drain != Drain::No {
             return false;
         }
         let wait = self.timing.length + self.timing.margin;
-        let is_silent = self.unchanged.is_some_and(|since| now >= since.after(wait));
+        let is_silent = self
+            .unchanged_since
+            .is_some_and(|since| now >= since.after(wait));
         let is_over =
             is_silent || self.gone.contains_key(&lease.owner) || self.is_yielded(now, lease);
-        if self.acting.is_some() {
+        if self.acting_epoch.is_some() {
             return is_over;
         }
         let is_heir = lease.spare == self.me;
-        let is_lost = |holder| self.is_lost(holder) || self.is_quiet(now);
-        let is_next = is_heir || (is_lost(&lease.spare) && self.is_first(now, Some(lease)));
+        let is_lost = |holder| self.is_lost(holder) || self.is_unclaimed(now);
+        let is_next = is_heir || (is_lost(&lease.spare) && self.is_candidate(now, Some(lease)));
         is_over && is_next && is_lost(&lease.owner)
     }
 
-    /// Whether nobody has acted for the cell for long, as far as this instance hears.
-    pub(crate) fn is_quiet(&self, now: Moment) -> bool {
+    /// Whether no claim of the cell was received for two lease lengths.
+    pub(crate) fn is_unclaimed(&self, now: Moment) -> bool {
         let wait = 2 * self.timing.length;
-        self.heard.is_some_and(|heard| now >= heard.after(wait))
+        self.last_claim
+            .is_some_and(|heard| now >= heard.after(wait))
     }
 
-    /// Whether this instance is the best candidate besides the holders, or the second best of a
-    /// cell that the best has left alone for long.
-    pub(crate) fn is_first(&self, now: Moment, lease: Option<&Lease>) -> bool {
+    /// Whether this instance is the best candidate besides the holders, or the second best if the
+    /// cell has been unclaimed for long.
+    pub(crate) fn is_candidate(&self, now: Moment, lease: Option<&Lease>) -> bool {
         let is_holder = |h: &&Holder| lease.is_some_and(|l| **h == l.owner || **h == l.spare);
         let others = self.view.ranked.iter().filter(|h| !is_holder(h));
-        let count = 1 + usize::from(self.is_quiet(now));
+        let count = 1 + usize::from(self.is_unclaimed(now));
         others.take(count).any(|h| *h == self.me)
     }
 
-    /// The lease of this instance as owner, with the halves that it may name itself or an heir
-    /// for.
-    pub(crate) fn renewed(&self, now: Moment, lease: &Lease) -> Lease {
+    /// The lease renewed by this instance as owner, with the halves that it may take or give to an
+    /// heir.
+    pub(crate) fn renewed_lease(&self, now: Moment, lease: &Lease) -> Lease {
         let mut next = lease.clone();
         next.renewals += 1;
-        if self.highest() > next.epoch {
+        if self.highest_epoch() > next.epoch {
             next.epoch = self.next_epoch(&next);
         }
-        if self.is_free(now, &lease.kept) {
+        if self.may_reassign(now, &lease.kept) {
             next.kept = self.me.clone();
         }
-        if self.is_free(now, &lease.spare) {
+        if self.may_reassign(now, &lease.spare) {
             next.spare = self.me.clone();
         }
-        // A half that becomes this instance's with this write may be in use here by a loan, so it
-        // goes to an heir with a later write only.
+        // A half taken by this write may already be in use here on loan, so only a later write may
+        // give it to an heir.
         let is_whole = lease.kept == self.me && lease.spare == self.me;
         if is_whole && !self.is_lent(now) {
             next.spare = self.heir();
@@ -159,9 +162,9 @@
         next
     }
 
-    /// Whether the half of `holder` may go to this instance.
-    pub(crate) fn is_free(&self, now: Moment, holder: &Holder) -> bool {
-        let is_freed = self.freed.get(holder) == Some(&self.version());
+    /// Whether this instance may take the half of `holder`.
+    pub(crate) fn may_reassign(&self, now: Moment, holder: &Holder) -> bool {
+        let is_freed = self.released.get(holder) == Some(&self.version());
         let wait = self.timing.loan + self.timing.margin;
         let is_gone = self
             .gone
@@ -175,12 +178,12 @@
         others.next().unwrap_or(&self.me).clone()
     }
 
-    pub(crate) fn passed_on(&self, now: Moment, lease: &Lease, to: &Holder) -> Lease {
+    pub(crate) fn transferred_lease(&self, now: Moment, lease: &Lease, to: &Holder) -> Lease {
         let mut next = lease.clone();
         next.owner = to.clone();
         next.epoch = self.next_epoch(lease);
         next.renewals += 1;
-        // A half that is lent stays until the next owner asks for it after the loan.
+        // A lent half stays until the next owner requests it after the loan.
         let is_lent = self.is_lent(now);
         for half in [&mut next.kept, &mut next.spare] {
             if *half == self.me && !is_lent {
@@ -190,19 +193,19 @@
         next
     }
 
-    /// Whether the lease object has to be read now.
-    pub(crate) fn is_watching(&self, now: Moment) -> bool {
-        if self.is_stale || self.offered.is_some() || !self.doubts.is_empty() {
+    /// Whether the lease object must be read now.
+    pub(crate) fn needs_read(&self, now: Moment) -> bool {
+        if self.is_stale || self.offered.is_some() || !self.uncertain_writes.is_empty() {
             return true;
         }
         let Some((_, lease)) = &self.object else {
-            return self.is_first(now, None) && self.drain == Drain::No;
+            return self.is_candidate(now, None) && self.drain == Drain::No;
         };
         if lease.is_holder(&self.me) || lease.owner == self.me {
-            return self.acting != Some(lease.epoch) && !self.is_lent(now);
+            return self.acting_epoch != Some(lease.epoch) && !self.is_lent(now);
         }
         let is_leaving = !self.view.ranked.contains(&lease.owner);
-        let is_open = is_leaving || self.is_lost(&lease.owner) || self.is_quiet(now);
-        is_open && self.is_first(now, Some(lease))
+        let is_open = is_leaving || self.is_lost(&lease.owner) || self.is_unclaimed(now);
+        is_open && self.is_candidate(now, Some(lease))
     }
 }
