--- a/cornelstand/src/lease.rs
+++ b/cornelstand/src/lease.rs
@@ -59,7 +59,7 @@
 pub struct Holder {
     /// Name of the instance.
     pub name: InstanceName,
-    /// Distinguishes restarts.
+    /// Start time of the process.
     pub incarnation: Incarnation,
     /// Address that peers connect to.
     pub address: SocketAddr,
@@ -206,9 +206,9 @@
 pub struct LeaseView {
     /// Live members eligible to own the cell, best first.
     pub ranked: Vec<Holder>,
-    /// Processes among the lease's holders that the membership cannot reach.
+    /// Holders of the lease that the membership considers dead or left.
     pub lost: Vec<Holder>,
-    /// Processes among the lease's holders that are known to have ended.
+    /// Holders of the lease whose processes are known to have ended.
     pub gone: Vec<Holder>,
 }
 
