--- a/cornelstand/src/steward.rs
+++ b/cornelstand/src/steward.rs
@@ -1,8 +1,8 @@
-//! The actor around the lease machines of all cells.
+//! Actor that runs the lease state machines of all configured cells.
 //!
-//! One actor serves all cells of the configuration. It gives each machine the time, the
-//! membership and the results of its calls, and tells the dispatchers what they may use. Views
-//! are computed anew only when a member or the configuration has changed.
+//! It feeds each machine ticks, membership changes and the results of its calls, and notifies the
+//! dispatchers of changes in their tenure. A lease view is recomputed only when a member, the
+//! lease or the configuration has changed.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -26,37 +26,37 @@
 use crate::store::{Condition, ObjectKind, Store, StoreError};
 use crate::timeline::{Timeline, Topic};
 
-/// Messages that may wait for the actor.
-const MAILBOX: usize = 1024;
+/// Capacity of the actor's mailbox.
+const MAILBOX_CAPACITY: usize = 1024;
 
-/// Time between two ticks of the machines.
-const TICK: Duration = Duration::from_millis(250);
+/// Interval of the machines' ticks.
+const TICK_INTERVAL: Duration = Duration::from_millis(250);
 
-/// Ticks between two looks at a cell that this instance has no part in.
-const SPARSE: u32 = 8;
+/// Ticks between updates of a cell in which this instance has no part.
+const IDLE_TICKS: u32 = 8;
 
-/// Candidates of a cell that look at it at every tick.
+/// Number of candidates that update a cell at every tick.
 const CANDIDATES: usize = 3;
 
-/// Time between two claims of an owned cell towards the peers.
-const CLAIM: Duration = Duration::from_secs(2);
+/// Interval at which ownership of a cell is announced to the peers.
+const CLAIM_INTERVAL: Duration = Duration::from_secs(2);
 
 type BorrowCall = dyn Fn(Holder, Borrow) -> BoxFuture<'static, Option<BorrowReply>> + Send + Sync;
 type YieldCall = dyn Fn(Holder, Yield) -> BoxFuture<'static, ()> + Send + Sync;
 type TellCall = dyn Fn(CellId, CellChange) + Send + Sync;
 type DelayCall = dyn Fn(&CellId) -> u32 + Send + Sync;
 
-/// What the dispatcher of a cell has to know. After `HandOver` the state is to be moved and
-/// [`MovedCell`] sent.
+/// Ownership change for the dispatcher of a cell. After `HandOver` it transfers the state and
+/// sends [`MovedCell`].
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum CellChange {
     /// This instance acts as owner from now on.
     Gained(Tenure),
-    /// What it may use has changed.
+    /// The tenure has changed.
     Renewed(Tenure),
-    /// This instance does not act as owner any more.
+    /// This instance no longer acts as owner.
     Lost,
-    /// The queue and counters are to be moved to this instance.
+    /// The queue and counters are to be transferred to this instance.
     HandOver(Holder),
 }
 
@@ -73,83 +73,82 @@
     }
 }
 
-/// What the leases need from the outside.
+/// Dependencies of the [`Steward`].
 #[derive(Clone)]
 pub struct StewardParts {
     /// The store.
     pub store: Store,
-    /// Asks a holder for its half; `None` if it does not answer.
+    /// Requests a holder's half; `None` if it does not answer.
     pub borrow: Arc<BorrowCall>,
-    /// Tells the next owner that this instance has stopped.
+    /// Notifies the next owner that this instance has stopped.
     pub word: Arc<YieldCall>,
-    /// Tells the cell's dispatcher.
+    /// Notifies the cell's dispatcher.
     pub tell: Arc<TellCall>,
-    /// Expected wait of a new request at a cell that this instance owns, in milliseconds.
+    /// Expected queueing delay of a new request at an owned cell, in milliseconds.
     pub delay: Arc<DelayCall>,
     /// The membership.
     pub members: watch::Receiver<Arc<Members>>,
-    /// Where claims go.
+    /// Receives claims.
     pub fleet: Address<Membership>,
-    /// The configuration in force.
+    /// The active configuration.
     pub config: watch::Receiver<Arc<Config>>,
     /// Clock of the process.
     pub clock: Clock,
-    /// Where changes of owners are recorded.
+    /// Records changes of owners.
     pub timeline: Timeline,
 }
 
-/// Answers an acting owner that asks for this instance's half, `None` for an unknown cell.
+/// Answers an acting owner's request for this instance's half; `None` for an unknown cell.
 #[derive(Debug)]
 pub struct LendCell(pub Borrow);
 
-/// Takes in the word of a former owner.
+/// Handles the notice of a former owner.
 #[derive(Debug)]
 pub struct TakeOverCell(pub Yield);
 
-/// Tells that a cell's state has moved to the instance named in [`CellChange::HandOver`], or
-/// cannot.
+/// Reports that the transfer requested by [`CellChange::HandOver`] has completed or failed.
 #[derive(Debug)]
 pub struct MovedCell(pub CellId);
 
-/// Gives all cells away, because the instance is about to stop.
+/// Hands over all cells because the instance is stopping.
 #[derive(Debug)]
 pub struct DrainCells;
 
-/// Asks for the cells that this instance acts for.
+/// Lists the cells that this instance acts for.
 #[derive(Debug)]
 pub struct ListCells;
 
-/// Ends the actor.
+/// Stops the actor.
 #[derive(Debug)]
 pub struct StopSteward;
 
 struct Tick;
 
-struct Done(CellId, LeaseInput);
+struct CallDone(CellId, LeaseInput);
 
 /// The leases of this instance.
 pub struct Steward {
     me: Holder,
     timing: LeaseTiming,
     parts: StewardParts,
-    keepers: BTreeMap<CellId, Kept>,
+    keepers: BTreeMap<CellId, CellLease>,
     revision: Revision,
     is_draining: bool,
     ticks: u32,
-    itself: Option<WeakAddress<Self>>,
+    address: Option<WeakAddress<Self>>,
 }
 
-struct Kept {
+struct CellLease {
     keeper: Keeper,
-    /// Generation of the membership and lease that the machine last saw.
-    seen: Option<(u64, Option<Lease>)>,
-    heard: Option<(Epoch, u32)>,
+    /// Membership generation and lease of the machine's last view.
+    last_view: Option<(u64, Option<Lease>)>,
+    last_claim: Option<(Epoch, u32)>,
     /// Whether this instance is among the first candidates.
     is_candidate: bool,
-    claimed: Option<Moment>,
+    claimed_at: Option<Moment>,
 }
 
-impl Kept {
+impl CellLease {
     /// Whether `me` owns the cell, holds one of its halves or is among its first candidates.
     fn has_part(&self, me: &Holder) -> bool {
         let is_holder = self.keeper.lease().is_some_and(|l| l.is_holder(me));
@@ -158,7 +157,7 @@
 }
 
 impl Steward {
-    /// Starts the actor on the current runtime. It ends when the last address is dropped.
+    /// Starts the actor on the current runtime. It stops when the last address is dropped.
     #[must_use]
     pub fn spawn(me: Holder, timing: LeaseTiming, parts: StewardParts) -> Address<Self> {
         let steward = Self {
@@ -169,14 +168,14 @@
             revision: Revision::default(),
             is_draining: false,
             ticks: 0,
-            itself: None,
+            address: None,
         };
-        let address = xtra::spawn_tokio(steward, Mailbox::bounded(MAILBOX));
+        let address = xtra::spawn_tokio(steward, Mailbox::bounded(MAILBOX_CAPACITY));
         tokio::spawn(tick(address.downgrade()));
         address
     }
 
-    /// Adds machines for new cells and drops those of cells that are configured no more.
+    /// Adds machines for new cells and drops those of cells that are no longer configured.
     fn configure(&mut self, config: &Config) {
         if config.revision == self.revision {
             return;
@@ -184,21 +183,24 @@
         self.revision = config.revision;
         let cells: Vec<CellId> = config.cells().collect();
         let gone = self.keepers.extract_if(.., |cell, _| !cells.contains(cell));
-        for (cell, kept) in gone {
-            if kept.keeper.tenure().is_some() {
+        for (cell, cell_lease) in gone {
+            if cell_lease.keeper.tenure().is_some() {
                 (self.parts.tell)(cell, CellChange::Lost);
             }
         }
         for cell in cells {
             let keeper = || Keeper::new(self.me.clone(), cell.clone(), self.timing);
-            let kept = self.keepers.entry(cell.clone()).or_insert_with(|| Kept {
-                keeper: keeper(),
-                seen: None,
-                heard: None,
-                is_candidate: true,
-                claimed: None,
-            });
-            kept.seen = None;
+            let cell_lease = self
+                .keepers
+                .entry(cell.clone())
+                .or_insert_with(|| CellLease {
+                    keeper: keeper(),
+                    last_view: None,
+                    last_claim: None,
+                    is_candidate: true,
+                    claimed_at: None,
+                });
+            cell_lease.last_view = None;
         }
     }
 
@@ -207,38 +209,38 @@
         self.configure(&config);
         let members = self.parts.members.borrow().clone();
         self.ticks = self.ticks.wrapping_add(1);
-        let is_full = self.ticks.is_multiple_of(SPARSE);
+        let is_full = self.ticks.is_multiple_of(IDLE_TICKS);
         let watched = self.keepers.iter();
-        let watched = watched.filter(|(_, kept)| is_full || kept.has_part(&self.me));
+        let watched = watched.filter(|(_, cell_lease)| is_full || cell_lease.has_part(&self.me));
         let cells: Vec<CellId> = watched.map(|(cell, _)| cell.clone()).collect();
         for cell in cells {
-            self.look(&cell, &members, &config);
+            self.update_membership(&cell, &members, &config);
             self.claim(&cell);
             self.input(&cell, LeaseInput::Tick);
         }
     }
 
-    /// Gives a machine what is new in the membership.
-    fn look(&mut self, cell: &CellId, members: &Members, config: &Config) {
-        let Some(kept) = self.keepers.get_mut(cell) else {
+    /// Passes membership changes to a machine.
+    fn update_membership(&mut self, cell: &CellId, members: &Members, config: &Config) {
+        let Some(cell_lease) = self.keepers.get_mut(cell) else {
             return;
         };
-        let lease = kept.keeper.lease();
-        let is_seen = kept
-            .seen
+        let lease = cell_lease.keeper.lease();
+        let is_current = cell_lease
+            .last_view
             .as_ref()
             .is_some_and(|(g, l)| *g == members.generation() && l.as_ref() == lease);
         let mut inputs = Vec::new();
-        if !is_seen {
+        if !is_current {
             let view = members.lease_view(cell, config, lease);
             let mut first = view.ranked.iter().take(CANDIDATES);
-            kept.is_candidate = first.any(|h| *h == self.me);
-            kept.seen = Some((members.generation(), lease.cloned()));
+            cell_lease.is_candidate = first.any(|h| *h == self.me);
+            cell_lease.last_view = Some((members.generation(), lease.cloned()));
             inputs.push(LeaseInput::View(view));
         }
         let claim = members.owner(cell).filter(|c| c.owner != self.me.name);
-        if let Some(claim) = claim.filter(|c| kept.heard != Some((c.epoch, c.count))) {
-            kept.heard = Some((claim.epoch, claim.count));
+        if let Some(claim) = claim.filter(|c| cell_lease.last_claim != Some((c.epoch, c.count))) {
+            cell_lease.last_claim = Some((claim.epoch, claim.count));
             inputs.push(LeaseInput::Claim {
                 epoch: claim.epoch,
                 owner: claim.owner.clone(),
@@ -252,20 +254,23 @@
         }
     }
 
-    /// Repeats the claim of an owned cell towards the peers.
+    /// Announces ownership of a cell at its interval.
     fn claim(&mut self, cell: &CellId) {
         let now = self.parts.clock.now();
-        let Some(kept) = self.keepers.get_mut(cell) else {
+        let Some(cell_lease) = self.keepers.get_mut(cell) else {
             return;
         };
-        let Some(tenure) = kept.keeper.tenure() else {
-            kept.claimed = None;
+        let Some(tenure) = cell_lease.keeper.tenure() else {
+            cell_lease.claimed_at = None;
             return;
         };
-        if kept.claimed.is_some_and(|c| now < c.after(CLAIM)) {
+        if cell_lease
+            .claimed_at
+            .is_some_and(|c| now < c.after(CLAIM_INTERVAL))
+        {
             return;
         }
-        kept.claimed = Some(now);
+        cell_lease.claimed_at = Some(now);
         let claim = ClaimCell {
             cell: cell.clone(),
             epoch: tenure.epoch,
@@ -277,8 +282,10 @@
 
     fn input(&mut self, cell: &CellId, input: LeaseInput) {
         let mut out = Vec::new();
-        if let Some(kept) = self.keepers.get_mut(cell) {
-            kept.keeper.handle(self.parts.clock.now(), input, &mut out);
+        if let Some(cell_lease) = self.keepers.get_mut(cell) {
+            cell_lease
+                .keeper
+                .handle(self.parts.clock.now(), input, &mut out);
         }
         self.carry_out(cell, out);
     }
@@ -287,8 +294,8 @@
         for effect in out {
             match effect {
                 LeaseEffect::Gained(tenure) => {
-                    if let Some(kept) = self.keepers.get_mut(cell) {
-                        kept.claimed = None;
+                    if let Some(cell_lease) = self.keepers.get_mut(cell) {
+                        cell_lease.claimed_at = None;
                     }
                     self.change(cell, "gained", CellChange::Gained(tenure));
                     self.claim(cell);
@@ -330,15 +337,15 @@
         (self.parts.tell)(cell.clone(), change);
     }
 
-    /// Runs a call and returns its result to the machine.
+    /// Runs a call and passes its result to the machine.
     fn run(&self, cell: &CellId, work: impl Future<Output = Option<LeaseInput>> + Send + 'static) {
-        let Some(steward) = self.itself.as_ref().and_then(WeakAddress::try_upgrade) else {
+        let Some(steward) = self.address.as_ref().and_then(WeakAddress::try_upgrade) else {
             return;
         };
         let cell = cell.clone();
         tokio::spawn(async move {
             if let Some(input) = work.await {
-                let _ = steward.send(Done(cell, input)).await;
+                let _ = steward.send(CallDone(cell, input)).await;
             }
         });
     }
@@ -353,7 +360,7 @@
             match serde_json::from_str(&text) {
                 Ok(lease) => LeaseInput::Read(Some((object.version, lease))),
                 Err(error) => {
-                    tracing::error!(%cell, %error, "the lease object is damaged");
+                    tracing::error!(%cell, %error, "cannot parse lease object");
                     LeaseInput::Unreachable
                 }
             }
@@ -375,10 +382,10 @@
 }
 
 async fn tick(steward: WeakAddress<Steward>) {
-    let mut beat = interval(TICK);
-    beat.set_missed_tick_behavior(MissedTickBehavior::Delay);
+    let mut timer = interval(TICK_INTERVAL);
+    timer.set_missed_tick_behavior(MissedTickBehavior::Delay);
     loop {
-        beat.tick().await;
+        timer.tick().await;
         if steward.send(Tick).await.is_err() {
             return;
         }
@@ -389,7 +396,7 @@
     type Stop = ();
 
     async fn started(&mut self, mailbox: &Mailbox<Self>) -> Result<(), Self::Stop> {
-        self.itself = Some(mailbox.address());
+        self.address = Some(mailbox.address());
         Ok(())
     }
 
@@ -412,10 +419,10 @@
     }
 }
 
-impl Handler<Done> for Steward {
+impl Handler<CallDone> for Steward {
     type Return = ();
 
-    async fn handle(&mut self, Done(cell, input): Done, _: &mut Context<Self>) {
+    async fn handle(&mut self, CallDone(cell, input): CallDone, _: &mut Context<Self>) {
         self.input(&cell, input);
     }
 }
@@ -429,8 +436,10 @@
         _: &mut Context<Self>,
     ) -> Option<BorrowReply> {
         let mut out = Vec::new();
-        let kept = self.keepers.get_mut(&borrow.cell)?;
-        let reply = kept.keeper.lend(self.parts.clock.now(), &borrow, &mut out);
+        let cell_lease = self.keepers.get_mut(&borrow.cell)?;
+        let reply = cell_lease
+            .keeper
+            .lend(self.parts.clock.now(), &borrow, &mut out);
         self.carry_out(&borrow.cell, out);
         Some(reply)
     }
@@ -467,7 +476,7 @@
 
     async fn handle(&mut self, _: ListCells, _: &mut Context<Self>) -> Vec<(CellId, Tenure)> {
         let held = self.keepers.iter();
-        held.filter_map(|(cell, kept)| Some((cell.clone(), kept.keeper.tenure()?)))
+        held.filter_map(|(cell, cell_lease)| Some((cell.clone(), cell_lease.keeper.tenure()?)))
             .collect()
     }
 }
