--- a/cornelstand/src/ownership.rs
+++ b/cornelstand/src/ownership.rs
@@ -1,7 +1,7 @@
-//! Carries changes of ownership over to the dispatchers of the owned cells.
+//! Applies ownership changes to the dispatchers of the owned cells.
 //!
-//! Changes of one cell are applied in their order. A cell that was taken over without its former
-//! owner's state asks every entry what it still runs.
+//! Changes of one cell are applied in order. After a takeover without the former owner's state,
+//! every entry is asked for the attempts that it still runs.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -19,14 +19,14 @@
 use crate::name::{CellId, Epoch, Incarnation, InstanceName};
 use crate::steward::{CellChange, MovedCell, Steward};
 
-/// Time for the answer of a peer.
-const PEER_WAIT: Duration = Duration::from_secs(1);
-/// Time between two requests for an entry's census.
-const CENSUS_PAUSE: Duration = Duration::from_millis(500);
-/// Tries to move a cell's state to its next owner.
-const HAND_OVER_TRIES: u32 = 3;
+/// Timeout of a call to a peer.
+const PEER_TIMEOUT: Duration = Duration::from_secs(1);
+/// Delay before an entry is asked for its census again.
+const CENSUS_RETRY_DELAY: Duration = Duration::from_millis(500);
+/// Attempts to transfer a cell's state to its next owner.
+const HAND_OVER_ATTEMPTS: u32 = 3;
 
-/// What is needed to carry changes of ownership over.
+/// Dependencies for applying ownership changes.
 #[derive(Clone)]
 pub(crate) struct Ownership {
     pub(crate) holdings: Holdings,
@@ -35,7 +35,7 @@
 }
 
 impl Ownership {
-    /// Applies changes until their sender is gone.
+    /// Applies changes until the sender is dropped.
     pub(crate) async fn follow(
         self,
         mut changes: mpsc::UnboundedReceiver<(CellId, CellChange)>,
@@ -51,7 +51,7 @@
                     let names = entries.iter().map(|m| m.name.clone()).collect();
                     let origin = self.holdings.gain(&cell, tenure, names).await;
                     if origin == Origin::TakenOver {
-                        self.ask_entries(&cell, tenure.epoch, entries);
+                        self.fetch_censuses(&cell, tenure.epoch, entries);
                     }
                 }
                 CellChange::Renewed(tenure) => self.holdings.renew(&cell, tenure).await,
@@ -63,29 +63,29 @@
         }
     }
 
-    fn ask_entries(&self, cell: &CellId, epoch: Epoch, entries: Vec<Member>) {
+    fn fetch_censuses(&self, cell: &CellId, epoch: Epoch, entries: Vec<Member>) {
         for entry in entries {
             let ownership = self.clone();
             let cell = cell.clone();
-            tokio::spawn(async move { ownership.take_census(entry, cell, epoch).await });
+            tokio::spawn(async move { ownership.fetch_census(entry, cell, epoch).await });
         }
     }
 
-    /// Asks an entry what it runs of a cell until it answers or the cell is owned elsewhere.
-    async fn take_census(&self, entry: Member, cell: CellId, epoch: Epoch) {
+    /// Requests an entry's census of a cell until it answers or the cell is owned elsewhere.
+    async fn fetch_census(&self, entry: Member, cell: CellId, epoch: Epoch) {
         while self.holdings.is_owned(&cell, epoch) {
             let asked = cell.clone();
             let address = entry.address;
             let census = self
                 .links
-                .call(address, PEER_WAIT, |client, context| async move {
+                .call(address, PEER_TIMEOUT, |client, context| async move {
                     client.census(context, asked, epoch).await
                 });
             if let Ok(census) = census.await {
                 self.holdings.learn(census).await;
                 return;
             }
-            sleep(CENSUS_PAUSE).await;
+            sleep(CENSUS_RETRY_DELAY).await;
         }
     }
 
@@ -94,12 +94,13 @@
         let links = self.links.clone();
         tokio::spawn(async move {
             if let Some(handover) = handover {
-                for _ in 0..HAND_OVER_TRIES {
+                for _ in 0..HAND_OVER_ATTEMPTS {
                     let sent = handover.clone();
-                    let taken = links.call(next.address, PEER_WAIT, |client, context| async move {
-                        client.hand_over(context, sent).await
-                    });
-                    if taken.await.is_ok_and(|taken| taken) {
+                    let accepted =
+                        links.call(next.address, PEER_TIMEOUT, |client, context| async move {
+                            client.hand_over(context, sent).await
+                        });
+                    if accepted.await.is_ok_and(|accepted| accepted) {
                         break;
                     }
                 }
@@ -108,7 +109,7 @@
         });
     }
 
-    /// Tells the dispatchers of entries that have ended, until the membership ends.
+    /// Notifies the dispatchers of entries that have ended, until the membership stops.
     pub(crate) async fn watch_entries(self) {
         let mut members = self.members.clone();
         let mut seen: BTreeMap<InstanceName, Incarnation> = BTreeMap::new();
@@ -123,7 +124,7 @@
     }
 }
 
-/// Whether the process that `seen` has for the member's name has ended.
+/// Whether the process recorded in `seen` for the member's name has ended.
 fn is_entry_gone(seen: &mut BTreeMap<InstanceName, Incarnation>, member: &Member) -> bool {
     if member.state.has_ended() {
         return seen.remove(&member.name).is_some();
