--- a/cornelstand/src/takeover.rs
+++ b/cornelstand/src/takeover.rs
@@ -1,10 +1,10 @@
-//! How a cell passes from one owner to the next.
+//! Transfer of a cell from one owner to the next.
 //!
-//! A planned stop hands over counters, running attempts and what is known of the endpoints.
-//! Otherwise the new owner learns the running attempts from the entries. Until each entry has
-//! reported, what may run unseen at an endpoint is unknown and nothing is granted there, unless a
-//! load report that is young enough bounds it. An entry that is gone before it reported leaves
-//! that bound, and load reports, as the only knowledge.
+//! A planned stop hands over the counters, the running attempts and the state of the endpoints.
+//! Otherwise the new owner learns the running attempts from the entries. Until every entry has
+//! reported, the number of untracked attempts at an endpoint is unknown, and nothing is granted
+//! there unless a recent load report bounds it. If an entry ends before it has reported, only
+//! load reports bound that number.
 
 use std::collections::BTreeSet;
 use std::sync::Arc;
@@ -19,7 +19,7 @@
 use crate::name::{AttemptId, EndpointName, Epoch, InstanceName};
 
 impl Cell {
-    /// A cell that goes on where its earlier owner stopped.
+    /// Creates a cell from the state of its former owner.
     #[must_use]
     pub fn resume(handover: Handover, epoch: Epoch, config: Arc<Config>, now: Moment) -> Self {
         let mut cell = Self::new(handover.cell, epoch, config, now);
@@ -30,9 +30,9 @@
         }
         let floor = handover.counters.iter().map(|c| c.service).min();
         cell.queue.set_floor(floor.unwrap_or(0));
-        for known in &handover.endpoints {
-            if let Some(model) = cell.endpoints.get_mut(&known.endpoint) {
-                model.restore(now, known);
+        for state in &handover.endpoints {
+            if let Some(model) = cell.endpoints.get_mut(&state.endpoint) {
+                model.restore(now, state);
             }
         }
         for census in handover.running {
@@ -48,7 +48,7 @@
         cell
     }
 
-    /// What the next owner needs to go on. Offers that wait are not part of it.
+    /// State for the next owner. Queued offers are not part of it.
     #[must_use]
     pub fn hand_over(self) -> Handover {
         let floor = self.queue.floor();
@@ -62,7 +62,7 @@
             endpoint: name.clone(),
             boot: model.boot(),
             answers: model.answers(),
-            unseen: self.unseen(name, model),
+            unseen: self.untracked(name, model),
         });
         Handover {
             counters,
@@ -74,17 +74,17 @@
         }
     }
 
-    /// Requests that may run at an endpoint and that the next owner cannot follow.
-    fn unseen(&self, name: &EndpointName, model: &EndpointModel) -> u32 {
+    /// Requests that may run at an endpoint and that the next owner cannot track.
+    fn untracked(&self, name: &EndpointName, model: &EndpointModel) -> u32 {
         let foreign = model.foreign(self.latest).unwrap_or(u32::MAX);
         foreign.saturating_add(self.active.without_entry(name))
     }
 
-    /// Takes in an attempt that an earlier owner granted, and tells whether it is one.
+    /// Adopts an attempt granted by an earlier owner. Returns whether it is one.
     pub(crate) fn learn(&mut self, report: &Report) -> bool {
-        let earlier = report.epoch > self.complete && report.epoch < self.epoch;
-        let foreign = earlier && !self.active.has_ended(report.attempt);
-        if foreign {
+        let is_earlier = report.epoch > self.complete && report.epoch < self.epoch;
+        let is_adopted = is_earlier && !self.active.has_ended(report.attempt);
+        if is_adopted {
             let running = Running {
                 attempt: report.attempt,
                 endpoint: report.endpoint.clone(),
@@ -94,7 +94,7 @@
             };
             self.adopt(running, None, true);
         }
-        foreign
+        is_adopted
     }
 
     pub(crate) fn recover(&mut self, now: Moment, entries: BTreeSet<InstanceName>) {
@@ -122,12 +122,12 @@
             }
         }
         if self.unreported.remove(&census.entry) {
-            self.settle();
+            self.finish_recovery();
         }
     }
 
-    /// Ends the recovery once nobody has still to report.
-    fn settle(&mut self) {
+    /// Ends the recovery once every entry has reported.
+    fn finish_recovery(&mut self) {
         if !self.unreported.is_empty() || self.lost {
             return;
         }
