--- a/cornelstand/src/shard.rs
+++ b/cornelstand/src/shard.rs
@@ -1,9 +1,9 @@
-//! Division of a configuration into objects that fit the store.
+//! Sharding of a configuration into objects that fit the store.
 //!
-//! Items are dealt to shards by the hash of their kind and name. The number of shards is a power
-//! of two that follows from the size of the whole, so a note about one item rewrites one shard and
-//! the head. A shard is named by the digest of its content: an equal name means equal content,
-//! and shards can be cached and written again without harm.
+//! Items are assigned to shards by the hash of their kind and name. The number of shards is a
+//! power of two derived from the total size, so a note about one item usually rewrites only one
+//! shard and the head. A shard is named by the digest of its content: equal names mean equal
+//! content, so shards can be cached and rewritten safely.
 
 use std::collections::BTreeMap;
 
@@ -15,23 +15,23 @@
 use crate::note::{Digest, Items};
 use crate::store::Version;
 
-/// Bytes of items above which the number of shards doubles.
+/// Mean shard size above which the number of shards doubles.
 const SHARD_BYTES: usize = 96 * 1024;
 
-/// Most shards of a configuration.
-pub(crate) const MOST_SHARDS: usize = 1024;
+/// Maximum shards per configuration.
+pub(crate) const MAX_SHARDS: usize = 1024;
 
-/// The head of the stored configuration: its revision and where its parts are.
+/// Head of the stored configuration: its revision and the references to its shards.
 #[derive(Clone, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct Head {
     /// Revision of the configuration.
     pub revision: Revision,
-    /// The shards that are not empty.
+    /// The non-empty shards.
     pub shards: Vec<ShardRef>,
-    /// The latest accepted notes, oldest first.
+    /// The most recently accepted notes, oldest first.
     pub notes: Vec<Accepted>,
-    /// Shards that the latest notes have replaced and that may be deleted.
+    /// Shards that recent notes have replaced and that may be deleted.
     pub retired: Vec<ShardRef>,
 }
 
@@ -39,17 +39,17 @@
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct Accepted {
-    /// Revision that the note led to.
+    /// Revision that the note produced.
     pub revision: Revision,
-    /// Identity of the note.
+    /// Digest of the note.
     pub digest: Digest,
     /// Title of the note.
     pub title: String,
-    /// Kinds and names of the items it touched, cut short after some.
+    /// Kinds and names of the changed items, truncated after some.
     pub touched: Vec<String>,
 }
 
-/// Where a shard is stored.
+/// Reference to a stored shard.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct ShardRef {
@@ -59,35 +59,35 @@
     pub version: Version,
 }
 
-/// A shard with its text.
+/// A serialized shard.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub(crate) struct Shard {
     pub(crate) digest: Digest,
     pub(crate) text: String,
 }
 
-/// Divides `config` into shards, without empty ones.
+/// Divides `config` into non-empty shards.
 pub(crate) fn divide(config: &Config) -> Result<Vec<Shard>, serde_json::Error> {
     let total = serde_json::to_vec(config)?.len();
     let count = total
         .div_ceil(SHARD_BYTES)
         .next_power_of_two()
-        .min(MOST_SHARDS);
+        .min(MAX_SHARDS);
     let mut parts: Vec<Items> = vec![Items::default(); count];
     for (name, item) in &config.accounts {
-        let part = &mut parts[place("accounts", name.as_str(), count)];
+        let part = &mut parts[shard_index("accounts", name.as_str(), count)];
         part.accounts.insert(name.clone(), item.clone());
     }
     for (name, item) in &config.services {
-        let part = &mut parts[place("services", name.as_str(), count)];
+        let part = &mut parts[shard_index("services", name.as_str(), count)];
         part.services.insert(name.clone(), item.clone());
     }
     for (name, item) in &config.endpoints {
-        let part = &mut parts[place("endpoints", name.as_str(), count)];
+        let part = &mut parts[shard_index("endpoints", name.as_str(), count)];
         part.endpoints.insert(name.clone(), item.clone());
     }
     for (name, item) in &config.centres {
-        let part = &mut parts[place("centres", name.as_str(), count)];
+        let part = &mut parts[shard_index("centres", name.as_str(), count)];
         part.centres.insert(name.clone(), item.clone());
     }
     parts
@@ -101,12 +101,12 @@
         .collect()
 }
 
-fn place(kind: &str, name: &str, count: usize) -> usize {
+fn shard_index(kind: &str, name: &str, count: usize) -> usize {
     let hash = xxh3_64(format!("{kind}/{name}").as_bytes());
     usize::try_from(hash % count as u64).unwrap_or_default()
 }
 
-/// Puts the parts of a configuration together.
+/// Merges the shards of a configuration.
 pub(crate) fn join<'a>(revision: Revision, parts: impl Iterator<Item = &'a Items>) -> Config {
     let mut config = Config {
         revision,
--- a/cornelstand/src/tombs.rs
+++ b/cornelstand/src/tombs.rs
@@ -1,13 +1,13 @@
-//! Attempts that ended lately, so that a late message about one does not bring it back.
+//! Recently ended attempts, so that a late message cannot revive one.
 
 use std::collections::{HashSet, VecDeque};
 
 use crate::name::AttemptId;
 
-/// Most attempts that are remembered.
-const ROOM: usize = 4_096;
+/// Maximum number of recorded attempts.
+const CAPACITY: usize = 4_096;
 
-/// Bounded set of ended attempts; the oldest goes first.
+/// Bounded set of ended attempts that evicts the oldest.
 #[derive(Debug, Default)]
 pub(crate) struct Tombs {
     order: VecDeque<AttemptId>,
@@ -19,7 +19,7 @@
         if !self.set.insert(attempt) {
             return;
         }
-        if self.order.len() == ROOM
+        if self.order.len() == CAPACITY
             && let Some(oldest) = self.order.pop_front()
         {
             self.set.remove(&oldest);
