--- a/cornelstand/src/claim_route.rs
+++ b/cornelstand/src/claim_route.rs
@@ -1,8 +1,8 @@
-//! Choice of the instance that writes a claim shard, and the way there.
+//! Routing of claims to the instance that writes their shard.
 //!
-//! Every instance takes the live member that a rendezvous hash puts first, so that in the ordinary
-//! case one instance writes each shard and the claims of all share its writes. While views differ
-//! two may write; the versions of the store keep that safe.
+//! Every instance chooses the live member that a rendezvous hash ranks first, so that normally one
+//! instance writes each shard and all claims share its writes. While membership views differ, two
+//! instances may write; conditional writes keep that safe.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -15,10 +15,10 @@
 use crate::link::Links;
 use crate::member::{Members, weight};
 
-/// Time for the answer of a shard's writer. After it the shard is written here.
-const WAIT: Duration = Duration::from_secs(1);
+/// Timeout of a call to a shard's writer, after which the shard is written locally.
+const WRITER_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// The route of this instance's claims.
+/// Creates the route of this instance's claims.
 pub(crate) fn claim_route(members: &watch::Receiver<Arc<Members>>, links: &Links) -> ClaimRoute {
     let (members, links) = (members.clone(), links.clone());
     Arc::new(move |shard, call| {
@@ -31,17 +31,19 @@
             writer.clone()
         };
         let (links, call) = (links.clone(), call.clone());
-        let carried = async move {
-            let answer = links.call(writer.address, WAIT, |client, context| async move {
-                client.claim(context, call).await
-            });
+        let forwarded = async move {
+            let answer = links.call(
+                writer.address,
+                WRITER_TIMEOUT,
+                |client, context| async move { client.claim(context, call).await },
+            );
             answer.await.ok().flatten()
         };
-        Some(carried.boxed())
+        Some(forwarded.boxed())
     })
 }
 
-/// The live member that comes first for `shard`.
+/// Live member with the highest weight for `shard`.
 fn writer<'a>(shard: u16, members: impl IntoIterator<Item = &'a Member>) -> Option<&'a Member> {
     let key = format!("claim/{shard}");
     let live = members.into_iter().filter(|m| m.state.is_live());
--- a/cornelstand/src/claim_route/tests.rs
+++ b/cornelstand/src/claim_route/tests.rs
@@ -1,4 +1,4 @@
-//! Choice of a shard's writer.
+//! Tests of writer selection.
 
 use std::collections::BTreeMap;
 
