--- a/cornelstand/src/claim.rs
+++ b/cornelstand/src/claim.rs
@@ -1,13 +1,13 @@
-//! Claims of requests that may not be repeated, as they are kept in the platform's object API.
+//! Claims of non-repeatable requests, stored in the platform's object API.
 //!
 //! A claim is made before the first byte of a request is sent to an endpoint. Claims of many
-//! requests share one object, a *shard*, chosen by a hash of account and key. An object is only
-//! ever replaced under its version, so of two writers that claim the same key one meets a conflict,
-//! reads again and finds the other's claim. Each claim carries the random token of the `begin` that
-//! made it; a writer whose answer was lost reads the shard back and looks for its token.
+//! requests share one object, a *shard*, chosen by a hash of account and key. An object is
+//! replaced only if its version matches, so of two writers that claim the same key one gets a
+//! conflict, reads again and finds the other's claim. Each claim carries the random token of the
+//! `begin` that made it; a writer whose response was lost reads the shard and looks for its token.
 //!
-//! Claims carry no time. Their age is what one process has seen on its own monotonic clock (see
-//! `claim_shard`), so neither clock skew nor a wall clock that jumps can end a claim early.
+//! Claims carry no timestamps. Each process measures their age on its own monotonic clock (see
+//! `claim_shard`), so neither clock skew nor a wall-clock jump can expire a claim early.
 
 use std::collections::BTreeMap;
 
@@ -21,10 +21,10 @@
 use crate::name::{AccountName, Fingerprint, RequestId};
 use crate::store::VALUE_BYTES;
 
-/// Longest answer body that is kept with a claim, in bytes.
+/// Maximum length of an answer body stored with a claim.
 pub const BODY_BYTES: usize = 4096;
 
-/// Longest content type that is kept with a claim, in bytes.
+/// Maximum length of a content type stored with a claim.
 pub const MEDIA_BYTES: usize = 128;
 
 /// Hash of account and idempotency key.
@@ -35,7 +35,7 @@
 #[serde(into = "String", try_from = "String")]
 pub struct ClaimId(u128);
 
-/// Random mark of one `begin`, unique over the fleet.
+/// Random identifier of one `begin`, unique in the fleet.
 #[derive(
     Clone, Copy, Debug, Deserialize, Display, Eq, Hash, Ord, PartialEq, PartialOrd, Serialize,
 )]
@@ -43,12 +43,12 @@
 #[serde(into = "String", try_from = "String")]
 pub struct Token(pub u128);
 
-/// Error of reading hexadecimal text.
+/// Error of parsing hexadecimal text.
 #[derive(Debug, Snafu)]
-#[snafu(display("not in hexadecimal, or of the wrong length"))]
+#[snafu(display("invalid hexadecimal digit or length"))]
 pub struct HexError;
 
-fn from_hex(text: &str) -> Result<u128, HexError> {
+fn parse_hex(text: &str) -> Result<u128, HexError> {
     let digits = text.len() == 32 && text.bytes().all(|b| b.is_ascii_hexdigit());
     ensure!(digits, HexSnafu);
     u128::from_str_radix(text, 16).map_err(|_| HexError)
@@ -66,7 +66,7 @@
             type Error = HexError;
 
             fn try_from(text: String) -> Result<Self, HexError> {
-                from_hex(&text).map($name)
+                parse_hex(&text).map($name)
             }
         }
     )*};
@@ -75,7 +75,7 @@
 hex_text!(ClaimId, Token);
 
 impl ClaimId {
-    /// The identity of `key` of `account`. Keys of different accounts never share one.
+    /// Derives the identity of `key` of `account`. Accounts never share identities.
     #[must_use]
     pub fn new(account: &AccountName, key: &str) -> Self {
         let mut hash = Sha256::new();
@@ -87,44 +87,44 @@
         Self(head.iter().fold(0, |sum, b| sum << 8 | u128::from(*b)))
     }
 
-    /// The shard among `shards` that holds this claim.
+    /// Index of this claim's shard among `shards`.
     #[must_use]
     pub fn shard(self, shards: u16) -> u16 {
-        let place = self.0 % u128::from(shards.max(1));
-        u16::try_from(place).unwrap_or_default()
+        let index = self.0 % u128::from(shards.max(1));
+        u16::try_from(index).unwrap_or_default()
     }
 }
 
-/// A whole answer as it is kept for callers that send the request again.
+/// A complete answer, stored for callers that repeat the request.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(into = "RecordedText", try_from = "RecordedText")]
 pub struct Recorded {
     /// Status of the answer.
     pub status: u16,
-    /// Content type, empty if the answer had none or its body was not kept.
+    /// Content type, empty if the answer had none or its body is not stored.
     pub media: String,
-    /// The body, `None` if it was longer than [`BODY_BYTES`] and not kept.
+    /// The body, `None` if it exceeded [`BODY_BYTES`] and is not stored.
     pub body: Option<Bytes>,
 }
 
 impl Recorded {
-    /// The answer with `body` if it is short enough to keep.
+    /// Records the answer, with `body` only if it is short enough.
     #[must_use]
     pub fn new(status: u16, media: &str, body: &Bytes) -> Self {
-        let kept = body.len() <= BODY_BYTES && media.len() <= MEDIA_BYTES;
+        let is_stored = body.len() <= BODY_BYTES && media.len() <= MEDIA_BYTES;
         Self {
             status,
-            media: if kept {
+            media: if is_stored {
                 media.to_owned()
             } else {
                 String::new()
             },
-            body: kept.then(|| body.clone()),
+            body: is_stored.then(|| body.clone()),
         }
     }
 }
 
-/// A recorded answer as text.
+/// Stored form of a recorded answer.
 #[derive(Deserialize, Serialize)]
 #[serde(deny_unknown_fields)]
 struct RecordedText {
@@ -137,7 +137,7 @@
 #[serde(rename_all = "kebab-case")]
 enum BodyText {
     Text(String),
-    /// A body that is not UTF-8.
+    /// Used if not valid UTF-8.
     Hex(String),
     Dropped,
 }
@@ -166,7 +166,7 @@
         let body = match text.body {
             BodyText::Dropped => None,
             BodyText::Text(body) => Some(body.into()),
-            BodyText::Hex(hex) => Some(bytes_of(&hex)?),
+            BodyText::Hex(hex) => Some(decode_hex(&hex)?),
         };
         Ok(Self {
             status: text.status,
@@ -176,27 +176,27 @@
     }
 }
 
-fn bytes_of(hex: &str) -> Result<Bytes, HexError> {
+fn decode_hex(hex: &str) -> Result<Bytes, HexError> {
     let (pairs, rest) = hex.as_bytes().as_chunks::<2>();
     ensure!(rest.is_empty(), HexSnafu);
-    pairs.iter().map(|pair| byte_of(*pair)).collect()
+    pairs.iter().map(|pair| decode_byte(*pair)).collect()
 }
 
-fn byte_of([high, low]: [u8; 2]) -> Result<u8, HexError> {
+fn decode_byte([high, low]: [u8; 2]) -> Result<u8, HexError> {
     let digit = |b: u8| char::from(b).to_digit(16).context(HexSnafu);
     let value = digit(high)? * 16 + digit(low)?;
     u8::try_from(value).map_err(|_| HexError)
 }
 
-/// How far a claimed request is, as far as the store knows.
+/// Progress of a claimed request as recorded in the store.
 #[derive(Clone, Debug, Deserialize, Eq, IsVariant, PartialEq, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum ClaimState {
-    /// Claimed and not settled by its holder.
+    /// Claimed and not yet settled by its holder.
     Open,
     /// Answered.
     Recorded(Recorded),
-    /// Sent, and its end is not known.
+    /// Sent, with unknown outcome.
     Unknown,
 }
 
@@ -204,20 +204,20 @@
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct Claim {
-    /// The `begin` that made it.
+    /// Token of the `begin`.
     pub token: Token,
-    /// What was claimed.
+    /// Hash of the request.
     pub fingerprint: Fingerprint,
-    /// The request that made it.
+    /// Request identifier.
     #[serde(with = "request")]
     pub request: RequestId,
-    /// Number of the last change of this claim, rising over the changes of a shard.
+    /// Sequence number of the claim's last change, increasing over the shard's changes.
     pub change: u64,
-    /// How far it is.
+    /// Progress.
     pub state: ClaimState,
 }
 
-/// Request identities in hexadecimal.
+/// Request identifiers as hexadecimal.
 mod request {
     use serde::{Deserialize, Deserializer, Serializer, de::Error};
 
@@ -234,72 +234,72 @@
         deserializer: D,
     ) -> Result<RequestId, D::Error> {
         let text = String::deserialize(deserializer)?;
-        super::from_hex(&text)
+        super::parse_hex(&text)
             .map(RequestId)
             .map_err(D::Error::custom)
     }
 }
 
-/// Value of one claim object.
+/// Stored value of a claim object.
 #[derive(Clone, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct ClaimShard {
-    /// Number of the next change.
+    /// Next change number.
     pub next: u64,
     /// The claims by identity.
     pub claims: BTreeMap<ClaimId, Claim>,
-    /// Tokens given up, with the change that did so. A copy of their `begin` claims nothing.
+    /// Released tokens with the change that released them. Copies of their `begin` have no effect.
     pub released: BTreeMap<Token, u64>,
-    /// Objects that hold the other settled claims, oldest first.
+    /// Segments with the other settled claims, oldest first.
     #[serde(default)]
     pub segments: Vec<SegmentRef>,
 }
 
-/// Error of reading a claim object.
+/// Error of decoding a claim object.
 #[derive(Debug, Snafu)]
 pub enum ClaimShardError {
-    /// Longer than the store holds.
+    /// Exceeds the store's value size.
     #[snafu(display("a claim object of {bytes} bytes is too long"))]
     Long {
-        /// Its length.
+        /// Length.
         bytes: usize,
     },
-    /// Not in the form of a claim object.
+    /// Not valid JSON for a claim object.
     #[snafu(display("malformed claim object"))]
     Json {
-        /// Where and why.
+        /// Parse error.
         source: serde_json::Error,
     },
-    /// A released token is newer than its shard.
+    /// A released token has an invalid change number.
     #[snafu(display("a released token is newer than its shard"))]
     Newer,
-    /// A claim breaks a rule of its shard.
+    /// A claim violates an invariant of its shard.
     #[snafu(display("claim {id} {what}"))]
     Invalid {
         /// The claim.
         id: ClaimId,
-        /// The rule.
+        /// Violation.
         what: &'static str,
     },
 }
 
 impl ClaimShard {
-    /// Reads the value of a claim object.
+    /// Decodes the value of a claim object.
     ///
     /// # Errors
     ///
-    /// [`ClaimShardError`] for anything that [`ClaimShard::encode`] cannot have written.
+    /// [`ClaimShardError`] if [`ClaimShard::encode`] cannot have written `text`.
     pub fn decode(text: &str) -> Result<Self, ClaimShardError> {
         let bytes = text.len();
         ensure!(bytes <= VALUE_BYTES, LongSnafu { bytes });
         let shard: Self = serde_json::from_str(text).context(JsonSnafu)?;
         for (id, claim) in &shard.claims {
             let id = *id;
-            let known = claim.change < shard.next;
+            let is_older = claim.change < shard.next;
             let what = "is newer than its shard";
-            ensure!(known, InvalidSnafu { id, what });
+            ensure!(is_older, InvalidSnafu { id, what });
             let what = "has a longer answer than is kept";
-            ensure!(is_kept(&claim.state), InvalidSnafu { id, what });
+            ensure!(is_within_limits(&claim.state), InvalidSnafu { id, what });
         }
         ensure!(
             shard.released.values().all(|change| *change < shard.next),
@@ -308,41 +308,41 @@
         Ok(shard)
     }
 
-    /// The value of the claim object.
+    /// Encodes the value of the claim object.
     ///
     /// # Panics
     ///
-    /// Never: every shard has a form in JSON.
+    /// Never: every shard can be serialized.
     #[must_use]
     pub fn encode(&self) -> String {
-        serde_json::to_string(self).expect("names and numbers have a form in JSON")
+        serde_json::to_string(self).expect("a shard serializes to JSON")
     }
 
-    /// Claims `id` unless it is claimed, and tells who holds it.
+    /// Claims `id` unless it is claimed, and returns the claim.
     pub(crate) fn claim(&mut self, id: ClaimId, wish: ClaimWish) -> &Claim {
         let next = &mut self.next;
         self.claims.entry(id).or_insert_with(|| Claim {
             token: wish.token,
             fingerprint: wish.fingerprint,
             request: wish.request,
-            change: take(next),
+            change: next_change(next),
             state: ClaimState::Open,
         })
     }
 
-    /// Settles the open claim that `token` made. Tells whether that claim exists.
+    /// Settles the open claim made by `token`. Returns whether the claim exists.
     pub(crate) fn settle(&mut self, id: ClaimId, token: Token, state: &ClaimState) -> bool {
         let Some(claim) = self.claims.get_mut(&id).filter(|c| c.token == token) else {
             return false;
         };
         if claim.state.is_open() {
             claim.state = state.clone();
-            claim.change = take(&mut self.next);
+            claim.change = next_change(&mut self.next);
         }
         true
     }
 
-    /// Removes the open claim that `token` made, and keeps `token` from making one.
+    /// Removes the open claim made by `token` and bars `token` from making one.
     pub(crate) fn release(&mut self, id: ClaimId, token: Token) {
         if self.released.contains_key(&token) {
             return;
@@ -351,21 +351,21 @@
         if self.claims.get(&id).is_some_and(own) {
             self.claims.remove(&id);
         }
-        self.released.insert(token, take(&mut self.next));
+        self.released.insert(token, next_change(&mut self.next));
     }
 
-    /// Replaces `claims` by `segment`, as far as they are still here.
+    /// Moves those of `claims` that are still present to `segment`.
     pub(crate) fn replace(&mut self, claims: &BTreeMap<ClaimId, Claim>, segment: SegmentRef) {
         let before = self.claims.len();
         self.claims
             .retain(|id, claim| claims.get(id) != Some(claim));
         if self.claims.len() < before {
             self.segments.push(segment);
-            take(&mut self.next);
+            next_change(&mut self.next);
         }
     }
 
-    /// Removes what was not changed since the changes of `limits`.
+    /// Removes entries last changed before the limits.
     pub(crate) fn expire(&mut self, limits: Expiry) {
         self.claims.retain(|_, claim| {
             let open = claim.state.is_open();
@@ -376,7 +376,7 @@
     }
 }
 
-/// Changes of a shard before which each kind of entry has expired.
+/// Change numbers below which each kind of entry has expired.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub(crate) struct Expiry {
     pub(crate) settled: u64,
@@ -384,30 +384,30 @@
     pub(crate) released: u64,
 }
 
-/// What a `begin` asks for.
+/// Arguments of a `begin`.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct ClaimWish {
-    /// Mark of the `begin`.
+    /// Token of the `begin`.
     pub token: Token,
-    /// What is claimed.
+    /// Hash of the request.
     pub fingerprint: Fingerprint,
-    /// The request.
+    /// Request identifier.
     pub request: RequestId,
 }
 
-/// What is asked of a shard. Each operation may arrive more than once and late.
+/// Operation on a shard. It may arrive late and more than once.
 #[derive(Clone, Debug, Deserialize, Eq, IsVariant, PartialEq, Serialize)]
 pub enum ClaimOp {
     /// Claim.
     Begin(ClaimWish),
-    /// Keep the end of the request that the token claimed.
+    /// Record the outcome of the request claimed by the token.
     Settle(Token, ClaimState),
-    /// Give up what the token claimed or may yet claim.
+    /// Release what the token has claimed or may still claim.
     Release(Token),
 }
 
 impl ClaimOp {
-    /// The `begin` that it belongs to.
+    /// Token of its `begin`.
     pub(crate) fn token(&self) -> Token {
         match self {
             Self::Begin(wish) => wish.token,
@@ -416,7 +416,7 @@
     }
 }
 
-/// One operation on one claim, as instances send it to one another.
+/// Operation on a claim, as sent between instances.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct ClaimCall {
     /// The claim.
@@ -434,29 +434,29 @@
     Answered(Recorded),
     /// Another token holds the claim.
     Running,
-    /// The end of the request is not known.
+    /// The outcome of the request is unknown.
     Unknown,
-    /// The claim is for another fingerprint.
+    /// The claim has another fingerprint.
     Mismatch,
     /// Settled or released.
     Done,
     /// The token holds no claim.
     Lost,
-    /// The shard has no room.
+    /// The shard is full.
     Full,
-    /// Too many operations wait.
+    /// Too many operations are queued.
     Busy,
-    /// The store gave no clear answer in time.
+    /// The store gave no definite answer in time.
     Unavailable,
 }
 
-fn take(next: &mut u64) -> u64 {
+fn next_change(next: &mut u64) -> u64 {
     let change = *next;
     *next = next.saturating_add(1);
     change
 }
 
-fn is_kept(state: &ClaimState) -> bool {
+fn is_within_limits(state: &ClaimState) -> bool {
     match state {
         ClaimState::Open | ClaimState::Unknown => true,
         ClaimState::Recorded(r) => {
--- a/cornelstand/src/claim_segment.rs
+++ b/cornelstand/src/claim_segment.rs
@@ -1,10 +1,10 @@
-//! Settled claims of a shard, moved into objects that never change.
+//! Immutable segments that hold settled claims of a shard.
 //!
-//! A shard's object is rewritten with every batch, so it has to stay small. When it has grown, its
-//! writer copies the settled claims into a new object, a *segment*, and the next write of the shard
-//! replaces them by a reference to it. That write is conditional like any other: if another writer
-//! came first, nothing has changed and the segment is of no use. A settled claim never changes, so
-//! the copy holds for as long as the shard refers to it.
+//! A shard's object is rewritten with every batch, so it must stay small. When it grows too large,
+//! its writer copies the settled claims into a new object, a *segment*, and the next write of the
+//! shard replaces them with a reference. That write is conditional like any other: if another
+//! writer came first, nothing changes and the segment is unused. Settled claims never change, so
+//! the copy stays valid as long as the shard refers to it.
 
 use std::collections::{BTreeMap, HashMap};
 
@@ -13,26 +13,26 @@
 
 use crate::claim::{Claim, ClaimId, ClaimShard, Token};
 
-/// A segment of a shard. Its object is named after it.
+/// Reference to a segment; its text form names the object.
 #[derive(Clone, Copy, Debug, Deserialize, Display, Eq, Hash, PartialEq, Serialize)]
 #[display("{token}-{next}")]
 #[serde(deny_unknown_fields)]
 pub struct SegmentRef {
-    /// An operation of the writer that made it.
+    /// Token of an operation of its writer.
     pub token: Token,
-    /// Number of the change that comes after all of its claims.
+    /// Change number above those of all its claims.
     pub next: u64,
 }
 
-/// A segment that is being made.
+/// A segment under construction.
 #[derive(Debug)]
 struct Spill {
     segment: SegmentRef,
     claims: BTreeMap<ClaimId, Claim>,
-    stored: bool,
+    is_stored: bool,
 }
 
-/// What a writer knows of the segments of its shard.
+/// A writer's view of the segments of its shard.
 #[derive(Debug, Default)]
 pub(crate) struct Segments {
     /// Segment of each claim.
@@ -42,14 +42,14 @@
 }
 
 impl Segments {
-    /// The first segment of `shard` whose claims are not known.
+    /// First segment of `shard` that is not loaded.
     pub(crate) fn missing(&self, shard: &ClaimShard) -> Option<SegmentRef> {
         let own = self.spill.as_ref().map(|s| s.segment);
-        let unknown = |s: &&SegmentRef| !self.loaded.contains(s) && Some(**s) != own;
-        shard.segments.iter().find(unknown).copied()
+        let is_missing = |s: &&SegmentRef| !self.loaded.contains(s) && Some(**s) != own;
+        shard.segments.iter().find(is_missing).copied()
     }
 
-    /// The segment of `shard` that holds the claim `id`.
+    /// Segment of `shard` that holds the claim `id`.
     pub(crate) fn find(&self, id: ClaimId, shard: &ClaimShard) -> Option<SegmentRef> {
         if shard.claims.contains_key(&id) {
             return None;
@@ -57,11 +57,11 @@
         let moved = self.spill.as_ref().filter(|s| s.claims.contains_key(&id));
         let moved = moved.map(|s| s.segment);
         let known = self.index.get(&id).copied();
-        let referred = |s: &SegmentRef| shard.segments.contains(s);
-        moved.filter(referred).or(known.filter(referred))
+        let is_referenced = |s: &SegmentRef| shard.segments.contains(s);
+        moved.filter(is_referenced).or(known.filter(is_referenced))
     }
 
-    /// Notes the claims of a segment.
+    /// Indexes the claims of a segment.
     pub(crate) fn load(&mut self, segment: SegmentRef, claims: &BTreeMap<ClaimId, Claim>) {
         if !self.loaded.contains(&segment) {
             self.loaded.push(segment);
@@ -69,8 +69,8 @@
         self.index.extend(claims.keys().map(|id| (*id, segment)));
     }
 
-    /// Follows the shard as the store holds it. Gives back a segment that turned out useless.
-    pub(crate) fn follow(&mut self, shard: &ClaimShard) -> Option<SegmentRef> {
+    /// Adopts the stored state of the shard. Returns a segment that became obsolete.
+    pub(crate) fn update(&mut self, shard: &ClaimShard) -> Option<SegmentRef> {
         if let Some(spill) = self.spill.take_if(|s| shard.segments.contains(&s.segment)) {
             self.load(spill.segment, &spill.claims);
         }
@@ -78,13 +78,13 @@
             self.loaded.retain(|s| shard.segments.contains(s));
             self.index.retain(|_, s| shard.segments.contains(s));
         }
-        let useless =
-            |s: &mut Spill| s.stored && !s.claims.keys().any(|c| shard.claims.contains_key(c));
-        self.spill.take_if(useless).map(|s| s.segment)
+        let is_obsolete =
+            |s: &mut Spill| s.is_stored && !s.claims.keys().any(|c| shard.claims.contains_key(c));
+        self.spill.take_if(is_obsolete).map(|s| s.segment)
     }
 
-    /// Begins to move the settled claims of `shard`, and gives the new segment with its value.
-    pub(crate) fn begin(
+    /// Starts moving the settled claims of `shard`. Returns the new segment and its value.
+    pub(crate) fn begin_spill(
         &mut self,
         shard: &ClaimShard,
         token: Token,
@@ -107,22 +107,22 @@
         self.spill = Some(Spill {
             segment,
             claims,
-            stored: false,
+            is_stored: false,
         });
         Some((segment, value.encode()))
     }
 
-    /// Takes in whether the new segment is stored. If that is not certain it is given up.
-    pub(crate) fn stored(&mut self, segment: SegmentRef, certain: bool) {
-        self.spill.take_if(|s| s.segment == segment && !certain);
+    /// Handles the result of storing the new segment, which is dropped unless it succeeded.
+    pub(crate) fn handle_stored(&mut self, segment: SegmentRef, is_written: bool) {
+        self.spill.take_if(|s| s.segment == segment && !is_written);
         if let Some(spill) = self.spill.as_mut().filter(|s| s.segment == segment) {
-            spill.stored = true;
+            spill.is_stored = true;
         }
     }
 
-    /// Replaces claims of `shard` by the new segment, if that is stored.
+    /// Replaces claims of `shard` with the new segment, once stored.
     pub(crate) fn apply(&self, shard: &mut ClaimShard) {
-        if let Some(spill) = self.spill.as_ref().filter(|s| s.stored) {
+        if let Some(spill) = self.spill.as_ref().filter(|s| s.is_stored) {
             shard.replace(&spill.claims, spill.segment);
         }
     }
--- a/cornelstand/src/claim_shard.rs
+++ b/cornelstand/src/claim_shard.rs
@@ -1,14 +1,14 @@
-//! Writer of one claim shard: many claims and settlements in one conditional write.
+//! Writer of one claim shard, which batches claims and settlements into conditional writes.
 //!
-//! Operations queue while a call to the store is under way and all go into the next write, which
-//! starts no earlier than a fixed gap after the last one. So the rate of writes is bounded by the
-//! number of shards, whatever the rate of requests. The writer keeps the last value and version it
-//! has seen and reads only when a write conflicts or its answer is lost.
+//! Operations are queued while a store call is in flight and all go into the next write, which
+//! starts no earlier than a fixed gap after the last one. The write rate is thus bounded by the
+//! number of shards, whatever the request rate. The writer caches the last value and version and
+//! reads only after a write conflicts or its response is lost.
 //!
-//! Every operation is idempotent by its token and is answered only from a value that the store
-//! is known to hold. An operation whose write had no clear end stays queued and is applied again
-//! to what is read back. A `begin` that is given up leaves a release behind, so that a late write
-//! does not leave a claim without a holder.
+//! Every operation is idempotent by its token and is answered only from a value that the store is
+//! known to hold. An operation whose write had an unknown outcome stays queued and is applied again
+//! to the value read next. A `begin` that times out after such a write is replaced by a release, so
+//! that a late write leaves no claim without a holder.
 
 use std::collections::VecDeque;
 use std::time::Duration;
@@ -22,40 +22,40 @@
 use crate::moment::Moment;
 use crate::store::{Condition, VALUE_BYTES, Version};
 
-/// Size of a shard above which it takes no new claims, in bytes. The rest is for settlements.
-const CLAIM_BYTES: usize = VALUE_BYTES / 4 * 3;
+/// Size of a shard above which new claims are refused. The rest is for settlements.
+const NEW_CLAIM_LIMIT_BYTES: usize = VALUE_BYTES / 4 * 3;
 
-/// Bytes that the operations of one write may add to a shard.
-const BATCH_BYTES: usize = VALUE_BYTES / 8;
+/// Maximum estimated size of the operations in one write.
+const MAX_BATCH_BYTES: usize = VALUE_BYTES / 8;
 
-/// Bytes of a claim without its answer.
-const CLAIM_SIZE: usize = 512;
+/// Estimated claim size without answer.
+const CLAIM_BYTES: usize = 512;
 
-/// Times that are kept of what was seen, for each expiry span.
-const SAMPLES: u32 = 8;
+/// Age samples kept per expiry span.
+const SAMPLES_PER_SPAN: u32 = 8;
 
 /// Limits of the claim protocol.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct ClaimLimits {
-    /// Number of shards. All instances have to agree on it.
+    /// Number of shards. Must be the same on all instances.
     pub shards: u16,
-    /// Least time between the starts of two writes of one shard.
+    /// Minimum time between the starts of two writes of a shard.
     pub gap: Duration,
-    /// Time after which a `begin` without an answer from the store is refused.
+    /// Timeout of a `begin` that gets no answer from the store.
     pub patience: Duration,
-    /// Time for which a settlement is tried, and a released token is remembered.
+    /// Timeout of a settlement, and retention of a released token.
     pub settle: Duration,
-    /// Time from `begin` within which the request has to be sent.
+    /// Time from `begin` within which the request must be sent.
     pub window: Duration,
-    /// Time after which an open claim counts as unknown instead of running.
+    /// Age at which an open claim counts as unknown instead of running.
     pub run: Duration,
-    /// Least time for which a settled claim is kept.
+    /// Minimum retention of a settled claim.
     pub keep: Duration,
-    /// Least time for which a claim that was never settled is kept.
+    /// Minimum retention of a claim that was never settled.
     pub orphan: Duration,
-    /// Most operations that wait at one shard, and most in one write.
+    /// Maximum operations queued at one shard, and in one write.
     pub queue: usize,
-    /// Size of a shard's object above which settled claims are moved out of it, in bytes.
+    /// Size of a shard's object, in bytes, above which settled claims move to a segment.
     pub spill: usize,
 }
 
@@ -76,39 +76,39 @@
     }
 }
 
-/// Identity of an operation within its writer.
+/// Identifier of an operation within its writer.
 pub(crate) type OpId = u64;
 
-/// End of a read.
+/// Result of a read.
 #[derive(Clone, Debug, Eq, PartialEq)]
-pub(crate) enum ReadEnd {
+pub(crate) enum ReadResult {
     Absent,
     Found(Version, ClaimShard),
     Failed,
 }
 
-/// End of a conditional write.
+/// Result of a conditional write.
 #[derive(Clone, Copy, Debug, Eq, IsVariant, PartialEq)]
 pub enum WriteEnd {
     /// The store holds the value under this version.
     Written(Version),
-    /// The condition does not hold. Nothing was written.
+    /// The condition failed. Nothing was written.
     Conflict,
     /// Nothing was written.
     NotWritten,
-    /// The write may take effect, also later.
+    /// The write may take effect, now or later.
     Unknown,
 }
 
 /// Input of the writer.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub(crate) enum Event {
-    Asked(OpId, ClaimCall),
-    Read(ReadEnd),
+    Requested(OpId, ClaimCall),
+    Read(ReadResult),
     Written(WriteEnd),
-    /// The claims of a segment, `None` if they could not be read.
+    /// The claims of a segment, `None` if the read failed.
     Segment(SegmentRef, Option<ClaimShard>),
-    /// The end of a write of a new segment.
+    /// Result of writing a new segment.
     Stored(SegmentRef, WriteEnd),
     Tick,
 }
@@ -120,7 +120,7 @@
     Write(Condition, String),
     ReadSegment(SegmentRef),
     WriteSegment(SegmentRef, String),
-    /// Nothing refers to the segment any more.
+    /// Delete a segment that is no longer referenced.
     DropSegment(SegmentRef),
     Reply(OpId, ClaimAnswer),
     Wake(Moment),
@@ -128,21 +128,21 @@
 
 #[derive(Debug)]
 struct Pending {
-    /// Whom to answer, `None` if that was done.
+    /// Operation to answer, `None` once answered.
     op: Option<OpId>,
     call: ClaimCall,
     until: Moment,
-    /// The store was read since the operation came.
-    confirmed: bool,
-    /// The claim of the key, if a segment holds it.
-    found: Option<Claim>,
-    /// A write that may still take effect contains the operation.
-    exposed: bool,
+    /// The store was read after the operation arrived.
+    is_confirmed: bool,
+    /// The existing claim, if a segment holds it.
+    segment_claim: Option<Claim>,
+    /// A write with unknown outcome contains the operation.
+    may_be_written: bool,
     answer: Option<ClaimAnswer>,
 }
 
 #[derive(Debug)]
-enum Step {
+enum CallState {
     Idle,
     Reading,
     Writing(ClaimShard),
@@ -160,8 +160,8 @@
     limits: ClaimLimits,
     cached: Option<Cached>,
     queue: VecDeque<Pending>,
-    step: Step,
-    ready: Moment,
+    call: CallState,
+    next_call: Moment,
     ages: Ages,
     segments: Segments,
 }
@@ -172,37 +172,37 @@
             limits,
             cached: None,
             queue: VecDeque::new(),
-            step: Step::Idle,
-            ready: Moment::default(),
+            call: CallState::Idle,
+            next_call: Moment::default(),
             ages: Ages::default(),
             segments: Segments::default(),
         }
     }
 
-    /// Takes one event and returns what is to be done.
-    pub(crate) fn on(&mut self, now: Moment, event: Event) -> Vec<Effect> {
+    /// Processes an event and returns the effects.
+    pub(crate) fn handle(&mut self, now: Moment, event: Event) -> Vec<Effect> {
         let mut effects = Vec::new();
         match event {
-            Event::Asked(op, call) => self.asked(now, op, call, &mut effects),
-            Event::Read(end) => self.read(now, end, &mut effects),
-            Event::Written(end) => self.written(now, end, &mut effects),
-            Event::Segment(segment, found) => self.segment(now, segment, found),
-            Event::Stored(segment, end) => self.segments.stored(segment, end.is_written()),
+            Event::Requested(op, call) => self.enqueue(now, op, call, &mut effects),
+            Event::Read(end) => self.handle_read(now, end, &mut effects),
+            Event::Written(end) => self.handle_written(now, end, &mut effects),
+            Event::Segment(segment, found) => self.handle_segment(now, segment, found),
+            Event::Stored(segment, end) => self.segments.handle_stored(segment, end.is_written()),
             Event::Tick => {}
         }
-        self.give_up(now, &mut effects);
-        self.advance(now, &mut effects);
-        self.wake(&mut effects);
+        self.expire_pending(now, &mut effects);
+        self.start_call(now, &mut effects);
+        self.schedule_wake(&mut effects);
         effects
     }
 
-    fn asked(&mut self, now: Moment, op: OpId, call: ClaimCall, out: &mut Vec<Effect>) {
-        let begin = call.op.is_begin();
-        if begin && self.queue.len() >= self.limits.queue {
+    fn enqueue(&mut self, now: Moment, op: OpId, call: ClaimCall, out: &mut Vec<Effect>) {
+        let is_begin = call.op.is_begin();
+        if is_begin && self.queue.len() >= self.limits.queue {
             out.push(Effect::Reply(op, ClaimAnswer::Busy));
             return;
         }
-        let patience = if begin {
+        let timeout = if is_begin {
             self.limits.patience
         } else {
             self.limits.settle
@@ -210,59 +210,59 @@
         self.queue.push_back(Pending {
             op: Some(op),
             call,
-            until: now.after(patience),
-            confirmed: false,
-            found: None,
-            exposed: false,
+            until: now.after(timeout),
+            is_confirmed: false,
+            segment_claim: None,
+            may_be_written: false,
             answer: None,
         });
     }
 
-    fn read(&mut self, now: Moment, end: ReadEnd, out: &mut Vec<Effect>) {
-        self.step = Step::Idle;
+    fn handle_read(&mut self, now: Moment, end: ReadResult, out: &mut Vec<Effect>) {
+        self.call = CallState::Idle;
         let (condition, shard) = match end {
-            ReadEnd::Absent => (Condition::Absent, ClaimShard::default()),
-            ReadEnd::Found(version, shard) => (Condition::Match(version), shard),
-            ReadEnd::Failed => {
-                self.pause(now);
+            ReadResult::Absent => (Condition::Absent, ClaimShard::default()),
+            ReadResult::Found(version, shard) => (Condition::Match(version), shard),
+            ReadResult::Failed => {
+                self.back_off(now);
                 return;
             }
         };
-        self.hold(now, condition, shard, out);
+        self.cache(now, condition, shard, out);
     }
 
-    /// Takes `shard` as what the store holds.
-    fn hold(
+    /// Caches `shard` as the stored value.
+    fn cache(
         &mut self,
         now: Moment,
         condition: Condition,
         shard: ClaimShard,
         out: &mut Vec<Effect>,
     ) {
-        self.ages.see(now, shard.next, &self.limits);
-        let useless = self.segments.follow(&shard);
-        out.extend(useless.map(Effect::DropSegment));
+        self.ages.record(now, shard.next, &self.limits);
+        let obsolete = self.segments.update(&shard);
+        out.extend(obsolete.map(Effect::DropSegment));
         self.cached = Some(Cached { condition, shard });
     }
 
-    fn segment(&mut self, now: Moment, segment: SegmentRef, found: Option<ClaimShard>) {
-        self.step = Step::Idle;
+    fn handle_segment(&mut self, now: Moment, segment: SegmentRef, found: Option<ClaimShard>) {
+        self.call = CallState::Idle;
         let Some(found) = found else {
-            // Another writer may have dropped the segment.
+            // Another writer may have deleted the segment.
             self.cached = None;
-            self.pause(now);
+            self.back_off(now);
             return;
         };
         self.segments.load(segment, &found.claims);
         for pending in &mut self.queue {
             if let Some(claim) = found.claims.get(&pending.call.claim) {
-                pending.found = Some(claim.clone());
+                pending.segment_claim = Some(claim.clone());
             }
         }
     }
 
-    fn written(&mut self, now: Moment, end: WriteEnd, out: &mut Vec<Effect>) {
-        let Step::Writing(shard) = std::mem::replace(&mut self.step, Step::Idle) else {
+    fn handle_written(&mut self, now: Moment, end: WriteEnd, out: &mut Vec<Effect>) {
+        let CallState::Writing(shard) = std::mem::replace(&mut self.call, CallState::Idle) else {
             return;
         };
         match end {
@@ -273,17 +273,17 @@
                     gone.filter(|s| !shard.segments.contains(s))
                         .map(Effect::DropSegment),
                 );
-                self.hold(now, Condition::Match(version), shard, out);
-                self.reply(out);
+                self.cache(now, Condition::Match(version), shard, out);
+                self.send_replies(out);
             }
             WriteEnd::Conflict => self.cached = None,
-            WriteEnd::NotWritten => self.pause(now),
+            WriteEnd::NotWritten => self.back_off(now),
             WriteEnd::Unknown => {
                 for pending in self.queue.iter_mut().filter(|p| p.answer.is_some()) {
-                    pending.exposed = true;
+                    pending.may_be_written = true;
                 }
                 self.cached = None;
-                self.pause(now);
+                self.back_off(now);
             }
         }
         for pending in &mut self.queue {
@@ -291,13 +291,13 @@
         }
     }
 
-    /// Delays the next call after a failed one.
-    fn pause(&mut self, now: Moment) {
-        self.ready = self.ready.max(now.after(self.limits.gap));
+    /// Delays the next call after a failure.
+    fn back_off(&mut self, now: Moment) {
+        self.next_call = self.next_call.max(now.after(self.limits.gap));
     }
 
-    /// Sends the answers that the present value bears out.
-    fn reply(&mut self, out: &mut Vec<Effect>) {
+    /// Sends the answers confirmed by the stored value.
+    fn send_replies(&mut self, out: &mut Vec<Effect>) {
         self.queue.retain_mut(|pending| {
             let Some(answer) = pending.answer.take() else {
                 return true;
@@ -307,9 +307,9 @@
         });
     }
 
-    /// Refuses what has waited too long.
-    fn give_up(&mut self, now: Moment, out: &mut Vec<Effect>) {
-        let writing = matches!(self.step, Step::Writing(_));
+    /// Refuses expired operations.
+    fn expire_pending(&mut self, now: Moment, out: &mut Vec<Effect>) {
+        let is_writing = matches!(self.call, CallState::Writing(_));
         let settle = self.limits.settle;
         self.queue.retain_mut(|pending| {
             if now < pending.until {
@@ -317,20 +317,20 @@
             }
             let op = pending.op.take();
             out.extend(op.map(|op| Effect::Reply(op, ClaimAnswer::Unavailable)));
-            let exposed = pending.exposed || writing && pending.answer.is_some();
+            let may_be_written = pending.may_be_written || is_writing && pending.answer.is_some();
             let ClaimOp::Begin(wish) = pending.call.op else {
                 return false;
             };
             pending.call.op = ClaimOp::Release(wish.token);
             pending.until = now.after(settle);
             pending.answer = None;
-            exposed
+            may_be_written
         });
     }
 
-    /// Starts the next call if one is needed and none is under way.
-    fn advance(&mut self, now: Moment, out: &mut Vec<Effect>) {
-        if !matches!(self.step, Step::Idle) || self.queue.is_empty() || now < self.ready {
+    /// Starts the next store call if one is needed and none is in flight.
+    fn start_call(&mut self, now: Moment, out: &mut Vec<Effect>) {
+        if !matches!(self.call, CallState::Idle) || self.queue.is_empty() || now < self.next_call {
             return;
         }
         let Some(cached) = &self.cached else {
@@ -340,41 +340,41 @@
         let condition = cached.condition;
         let mut shard = cached.shard.clone();
         shard.expire(Expiry {
-            settled: self.ages.before(now, self.limits.keep),
-            open: self.ages.before(now, self.limits.orphan),
-            released: self.ages.before(now, self.limits.settle),
+            settled: self.ages.first_younger(now, self.limits.keep),
+            open: self.ages.first_younger(now, self.limits.orphan),
+            released: self.ages.first_younger(now, self.limits.settle),
         });
         self.segments.apply(&mut shard);
         if let Some(segment) = self.segments.missing(&shard) {
-            self.step = Step::Reading;
+            self.call = CallState::Reading;
             out.push(Effect::ReadSegment(segment));
             return;
         }
-        let dated = self.ages.before(now, self.limits.run);
-        match self.apply(&mut shard, dated, false) {
-            Applied::Whole => {}
-            Applied::Stale => {
+        let run_cutoff = self.ages.first_younger(now, self.limits.run);
+        match self.apply(&mut shard, run_cutoff, false) {
+            Applied::Complete => {}
+            Applied::NeedsRead => {
                 self.start_read(out);
                 return;
             }
-            Applied::Elsewhere(segment) => {
-                self.step = Step::Reading;
+            Applied::NeedsSegment(segment) => {
+                self.call = CallState::Reading;
                 out.push(Effect::ReadSegment(segment));
                 return;
             }
         }
         if self.is_unchanged(&shard) {
-            self.reply(out);
+            self.send_replies(out);
             return;
         }
-        let value = self.encode(&mut shard, dated);
+        let value = self.encode(&mut shard, run_cutoff);
         self.spill(value.len(), out);
-        self.step = Step::Writing(shard);
-        self.ready = now.after(self.limits.gap);
+        self.call = CallState::Writing(shard);
+        self.next_call = now.after(self.limits.gap);
         out.push(Effect::Write(condition, value));
     }
 
-    /// Begins to move settled claims out of a shard that has grown to `bytes`.
+    /// Starts moving settled claims out of a shard of `bytes`, if too large.
     fn spill(&mut self, bytes: usize, out: &mut Vec<Effect>) {
         let (Some(cached), Some(first)) = (&self.cached, self.queue.front()) else {
             return;
@@ -382,17 +382,19 @@
         if bytes <= self.limits.spill {
             return;
         }
-        let begun = self.segments.begin(&cached.shard, first.call.op.token());
+        let begun = self
+            .segments
+            .begin_spill(&cached.shard, first.call.op.token());
         out.extend(begun.map(|(segment, value)| Effect::WriteSegment(segment, value)));
     }
 
     fn start_read(&mut self, out: &mut Vec<Effect>) {
         self.cached = None;
         for pending in &mut self.queue {
-            pending.confirmed = true;
+            pending.is_confirmed = true;
             pending.answer = None;
         }
-        self.step = Step::Reading;
+        self.call = CallState::Reading;
         out.push(Effect::Read);
     }
 
@@ -402,12 +404,12 @@
             .is_some_and(|c| c.shard.next == shard.next)
     }
 
-    /// Applies the queued operations, as many as go into one write.
-    fn apply(&mut self, shard: &mut ClaimShard, dated: u64, full: bool) -> Applied {
+    /// Applies as many queued operations as fit into one write.
+    fn apply(&mut self, shard: &mut ClaimShard, run_cutoff: u64, full: bool) -> Applied {
         let mut bytes = 0;
         for pending in self.queue.iter_mut().take(self.limits.queue) {
-            bytes += size(&pending.call.op);
-            if bytes > BATCH_BYTES {
+            bytes += estimated_bytes(&pending.call.op);
+            if bytes > MAX_BATCH_BYTES {
                 break;
             }
             let id = pending.call.claim;
@@ -416,17 +418,17 @@
                 ClaimOp::Begin(wish) if shard.released.contains_key(&wish.token) => {
                     ClaimAnswer::Lost
                 }
-                ClaimOp::Begin(wish) => match (segment, &pending.found) {
-                    (Some(_), Some(held)) => verdict(held, *wish, dated),
-                    (Some(segment), None) => return Applied::Elsewhere(segment),
+                ClaimOp::Begin(wish) => match (segment, &pending.segment_claim) {
+                    (Some(_), Some(held)) => claim_answer(held, *wish, run_cutoff),
+                    (Some(segment), None) => return Applied::NeedsSegment(segment),
                     (None, _) if full && !shard.claims.contains_key(&id) => ClaimAnswer::Full,
                     (None, _) => {
                         let held = shard.claim(id, *wish);
-                        let foreign = held.token != wish.token;
-                        if foreign && held.state.is_open() && !pending.confirmed {
-                            return Applied::Stale;
+                        let is_foreign = held.token != wish.token;
+                        if is_foreign && held.state.is_open() && !pending.is_confirmed {
+                            return Applied::NeedsRead;
                         }
-                        verdict(held, *wish, dated)
+                        claim_answer(held, *wish, run_cutoff)
                     }
                 },
                 ClaimOp::Settle(token, state) => {
@@ -443,29 +445,29 @@
             };
             pending.answer = Some(answer);
         }
-        Applied::Whole
+        Applied::Complete
     }
 
-    /// The value of `shard`, without its new claims if it has grown too large for them.
-    fn encode(&mut self, shard: &mut ClaimShard, dated: u64) -> String {
+    /// Encodes `shard`, without its new claims if it is too large for them.
+    fn encode(&mut self, shard: &mut ClaimShard, run_cutoff: u64) -> String {
         let value = shard.encode();
-        if value.len() <= CLAIM_BYTES {
+        if value.len() <= NEW_CLAIM_LIMIT_BYTES {
             return value;
         }
         let Some(cached) = &self.cached else {
             return value;
         };
         *shard = cached.shard.clone();
-        self.apply(shard, dated, true);
+        self.apply(shard, run_cutoff, true);
         shard.encode()
     }
 
-    fn wake(&self, out: &mut Vec<Effect>) {
+    fn schedule_wake(&self, out: &mut Vec<Effect>) {
         let deadline = self.queue.iter().map(|p| p.until).min();
         let Some(deadline) = deadline else { return };
-        let idle = matches!(self.step, Step::Idle);
-        let next = if idle {
-            self.ready.min(deadline)
+        let is_idle = matches!(self.call, CallState::Idle);
+        let next = if is_idle {
+            self.next_call.min(deadline)
         } else {
             deadline
         };
@@ -473,27 +475,27 @@
     }
 }
 
-/// How far the queued operations could be applied.
+/// Result of applying the queued operations.
 enum Applied {
-    Whole,
-    /// An answer needs a newer value.
-    Stale,
-    /// An answer needs a claim of this segment.
-    Elsewhere(SegmentRef),
+    Complete,
+    /// The store must be read again first.
+    NeedsRead,
+    /// This segment must be read first.
+    NeedsSegment(SegmentRef),
 }
 
-/// Bytes that an operation may add to a shard, roughly.
-fn size(op: &ClaimOp) -> usize {
+/// Estimated bytes that an operation adds to a shard.
+fn estimated_bytes(op: &ClaimOp) -> usize {
     match op {
         ClaimOp::Settle(_, ClaimState::Recorded(recorded)) => {
-            // A body that is not text takes two digits a byte, a control character six.
-            CLAIM_SIZE + 6 * recorded.body.as_ref().map_or(0, bytes::Bytes::len)
+            // Non-text bodies take two digits per byte, control characters six.
+            CLAIM_BYTES + 6 * recorded.body.as_ref().map_or(0, bytes::Bytes::len)
         }
-        _ => CLAIM_SIZE,
+        _ => CLAIM_BYTES,
     }
 }
 
-fn verdict(held: &Claim, wish: ClaimWish, dated: u64) -> ClaimAnswer {
+fn claim_answer(held: &Claim, wish: ClaimWish, run_cutoff: u64) -> ClaimAnswer {
     if held.token == wish.token {
         return ClaimAnswer::Fresh;
     }
@@ -501,28 +503,28 @@
         return ClaimAnswer::Mismatch;
     }
     match &held.state {
-        ClaimState::Open if held.change >= dated => ClaimAnswer::Running,
+        ClaimState::Open if held.change >= run_cutoff => ClaimAnswer::Running,
         ClaimState::Open | ClaimState::Unknown => ClaimAnswer::Unknown,
         ClaimState::Recorded(recorded) => ClaimAnswer::Answered(recorded.clone()),
     }
 }
 
-/// When which changes of the shard were seen first, on this process's monotonic clock.
+/// Samples of when changes of the shard were first seen, on the local monotonic clock.
 #[derive(Debug, Default)]
 struct Ages {
     samples: VecDeque<(Moment, u64)>,
 }
 
 impl Ages {
-    /// Notes that all changes below `next` exist at `now`.
+    /// Records that all changes below `next` exist at `now`.
     ///
-    /// The last sample holds all changes; the others are a step apart or more.
-    fn see(&mut self, now: Moment, next: u64, limits: &ClaimLimits) {
+    /// The last sample covers all changes; the others are at least one step apart.
+    fn record(&mut self, now: Moment, next: u64, limits: &ClaimLimits) {
         let spans = [limits.run, limits.keep, limits.orphan];
-        let step = spans.into_iter().min().unwrap_or_default() / SAMPLES;
+        let step = spans.into_iter().min().unwrap_or_default() / SAMPLES_PER_SPAN;
         let before = self.samples.len().checked_sub(2);
-        let dense = before.is_some_and(|i| now.since(self.samples[i].0) < step);
-        if dense {
+        let is_too_close = before.is_some_and(|i| now.since(self.samples[i].0) < step);
+        if is_too_close {
             self.samples.pop_back();
         }
         self.samples.push_back((now, next));
@@ -536,8 +538,8 @@
         }
     }
 
-    /// The change before which all are known to be at least `span` old.
-    fn before(&self, now: Moment, span: Duration) -> u64 {
+    /// Change number below which all changes are at least `span` old.
+    fn first_younger(&self, now: Moment, span: Duration) -> u64 {
         self.samples
             .iter()
             .take_while(|(at, _)| now.since(*at) >= span)
--- a/cornelstand/src/claim_shard/tests.rs
+++ b/cornelstand/src/claim_shard/tests.rs
@@ -1,4 +1,4 @@
-//! The writer of a claim shard, event by event and against a model.
+//! Tests of the claim shard writer, per event and against a model.
 
 mod model;
 
@@ -33,9 +33,9 @@
     Recorded::new(200, "text/plain", &Bytes::from(format!("answer {begin}")))
 }
 
-fn asked(op: OpId, what: ClaimOp) -> Event {
+fn requested(op: OpId, what: ClaimOp) -> Event {
     let claim = id(0);
-    Event::Asked(op, ClaimCall { claim, op: what })
+    Event::Requested(op, ClaimCall { claim, op: what })
 }
 
 const START: Moment = Moment(0);
@@ -49,15 +49,15 @@
 }
 
 fn begin(op: OpId) -> Event {
-    asked(op, ClaimOp::Begin(wish(u128::from(op))))
+    requested(op, ClaimOp::Begin(wish(u128::from(op))))
 }
 
-/// A writer that has claimed for operation 1, with version 1 in the store.
+/// A writer whose operation 1 holds the claim, with version 1 in the store.
 fn claimed() -> Writer {
     let mut writer = Writer::new(limits());
-    writer.on(START, begin(1));
-    writer.on(START, Event::Read(ReadEnd::Absent));
-    let effects = writer.on(START, written(1));
+    writer.handle(START, begin(1));
+    writer.handle(START, Event::Read(ReadResult::Absent));
+    let effects = writer.handle(START, written(1));
     assert_eq!(replies(&effects), [(1, ClaimAnswer::Fresh)]);
     writer
 }
@@ -83,14 +83,14 @@
 #[test]
 fn a_begin_that_was_given_up_is_not_answered_again() {
     let mut writer = Writer::new(limits());
-    writer.on(START, begin(1));
-    writer.on(START, Event::Read(ReadEnd::Absent));
+    writer.handle(START, begin(1));
+    writer.handle(START, Event::Read(ReadResult::Absent));
     let late = at(limits().patience);
-    let effects = writer.on(late, Event::Tick);
+    let effects = writer.handle(late, Event::Tick);
     assert_eq!(replies(&effects), [(1, ClaimAnswer::Unavailable)]);
-    let effects = writer.on(late, written(1));
+    let effects = writer.handle(late, written(1));
     assert_eq!(replies(&effects), []);
-    let effects = writer.on(late, written(2));
+    let effects = writer.handle(late, written(2));
     assert_eq!(replies(&effects), []);
 }
 
@@ -98,26 +98,26 @@
 fn a_copy_of_a_begin_after_its_release_claims_nothing() {
     let mut writer = claimed();
     let later = at(limits().gap);
-    writer.on(later, asked(2, ClaimOp::Release(Token(1))));
-    writer.on(later, written(2));
-    let effects = writer.on(at(limits().gap * 2), begin_copy(3));
+    writer.handle(later, requested(2, ClaimOp::Release(Token(1))));
+    writer.handle(later, written(2));
+    let effects = writer.handle(at(limits().gap * 2), begin_copy(3));
     assert_eq!(replies(&effects), [(3, ClaimAnswer::Lost)]);
 }
 
 fn begin_copy(op: OpId) -> Event {
-    asked(op, ClaimOp::Begin(wish(1)))
+    requested(op, ClaimOp::Begin(wish(1)))
 }
 
 #[test]
 fn a_failed_read_does_not_pass_for_a_fresh_one() {
     let mut writer = claimed();
     let mut now = at(limits().gap);
-    let effects = writer.on(now, begin(2));
+    let effects = writer.handle(now, begin(2));
     assert!(effects.contains(&Effect::Read));
-    let effects = writer.on(now, Event::Read(ReadEnd::Failed));
+    let effects = writer.handle(now, Event::Read(ReadResult::Failed));
     assert_eq!(replies(&effects), []);
     now = now.after(limits().gap);
-    let effects = writer.on(now, Event::Tick);
+    let effects = writer.handle(now, Event::Tick);
     assert!(effects.contains(&Effect::Read), "{effects:?}");
     assert_eq!(replies(&effects), []);
 }
@@ -126,20 +126,20 @@
     time.saturating_sub(Duration::from_millis(1))
 }
 
-/// What a later begin hears when the claim was last changed at time zero.
-fn heard(writer: &mut Writer, time: Duration) -> Vec<(OpId, ClaimAnswer)> {
+/// Answer to a later `begin` when the claim was last changed at time zero.
+fn later_answer(writer: &mut Writer, time: Duration) -> Vec<(OpId, ClaimAnswer)> {
     let shard = writer
         .cached
         .as_ref()
         .map(|c| c.shard.clone())
-        .expect("a value");
-    let mut effects = writer.on(at(time), begin(9));
+        .expect("a cached value");
+    let mut effects = writer.handle(at(time), begin(9));
     if effects.contains(&Effect::Read) {
-        let found = Event::Read(ReadEnd::Found(Version(1), shard));
-        effects = writer.on(at(time), found);
+        let found = Event::Read(ReadResult::Found(Version(1), shard));
+        effects = writer.handle(at(time), found);
     }
     if replies(&effects).is_empty() {
-        effects = writer.on(at(time), written(2));
+        effects = writer.handle(at(time), written(2));
     }
     replies(&effects)
 }
@@ -150,7 +150,7 @@
 #[case::kept(just_before(limits().orphan), ClaimAnswer::Unknown)]
 #[case::expired(limits().orphan, ClaimAnswer::Fresh)]
 fn an_open_claim_is_kept_for_its_time(#[case] time: Duration, #[case] answer: ClaimAnswer) {
-    assert_eq!(heard(&mut claimed(), time), [(9, answer)]);
+    assert_eq!(later_answer(&mut claimed(), time), [(9, answer)]);
 }
 
 #[rstest::rstest]
@@ -160,14 +160,14 @@
     let mut writer = claimed();
     let later = at(limits().gap);
     let settle = ClaimOp::Settle(Token(1), ClaimState::Unknown);
-    writer.on(later, asked(2, settle));
-    writer.on(later, written(1));
+    writer.handle(later, requested(2, settle));
+    writer.handle(later, written(1));
     let answer = if fresh {
         ClaimAnswer::Fresh
     } else {
         ClaimAnswer::Unknown
     };
-    assert_eq!(heard(&mut writer, time), [(9, answer)]);
+    assert_eq!(later_answer(&mut writer, time), [(9, answer)]);
 }
 
 #[test]
@@ -195,9 +195,9 @@
         ..ClaimShard::default()
     };
     let mut writer = Writer::new(limits());
-    writer.on(START, begin(9));
-    let effects = writer.on(START, Event::Read(ReadEnd::Found(Version(1), shard)));
+    writer.handle(START, begin(9));
+    let effects = writer.handle(START, Event::Read(ReadResult::Found(Version(1), shard)));
     assert_eq!(effects[0], Effect::ReadSegment(segment));
-    let effects = writer.on(START, Event::Segment(segment, Some(moved)));
+    let effects = writer.handle(START, Event::Segment(segment, Some(moved)));
     assert_eq!(replies(&effects), [(9, ClaimAnswer::Answered(recorded(1)))]);
 }
--- a/cornelstand/src/claim_shard/tests/model.rs
+++ b/cornelstand/src/claim_shard/tests/model.rs
@@ -1,7 +1,7 @@
-//! The claim protocol against a plain model, with lost, delayed and repeated messages.
+//! Model test of the claim protocol with lost, delayed and repeated messages.
 //!
-//! A schedule is a list of actions on a few instances that share one shard. The model knows when
-//! each request was really sent and settled, and checks every answer against that.
+//! A schedule is a list of actions on a few instances that share one shard. The model records when
+//! each request was actually sent and settled, and checks every answer against that.
 
 use std::cell::Cell;
 use std::collections::HashMap;
@@ -21,29 +21,29 @@
 const SCHEDULES: u32 = 10_000;
 const SEED: [u8; 16] = *b"claims in shards";
 
-/// What becomes of a call to the store.
+/// Outcome of a store call.
 #[derive(Clone, Copy, Debug)]
 enum CallEnd {
     Answered,
     AnswerLost,
     CallLost,
     Down,
-    /// The answer is lost, and a write may take effect at any later time.
+    /// The response is lost; a write may take effect at any later time.
     Delayed,
-    /// The call takes effect, and a copy of it may again at any later time.
+    /// The call takes effect; a copy may take effect again at any later time.
     Repeated,
 }
 
 #[derive(Clone, Copy, Debug)]
 enum Action {
-    /// With `copies`, its messages may arrive again, so a refusal is followed by a release.
+    /// With `copies`, messages may be duplicated, so a refusal is followed by a release.
     Begin {
         node: usize,
         key: usize,
-        print: u64,
+        fingerprint: u64,
         copies: bool,
     },
-    /// A begin is sent again, maybe to another instance, under its token.
+    /// Resends a `begin` with its token, possibly to another instance.
     BeginAgain {
         node: usize,
         begin: usize,
@@ -52,8 +52,8 @@
         call: usize,
         end: CallEnd,
     },
-    Ghost {
-        ghost: usize,
+    ApplyCopy {
+        copy: usize,
     },
     Send {
         ticket: usize,
@@ -94,11 +94,11 @@
     let index = 0..16_usize;
     prop_oneof![
             4 => (node.clone(), 0..KEYS, prop_oneof![8 => Just(1), 1 => Just(2)], any::<bool>())
-    .prop_map(|(node, key, print, copies)| Action::Begin { node, key, print, copies }),
+    .prop_map(|(node, key, fingerprint, copies)| Action::Begin { node, key, fingerprint, copies }),
             1 => (node.clone(), index.clone())
                 .prop_map(|(node, begin)| Action::BeginAgain { node, begin }),
             12 => (index.clone(), call_end()).prop_map(|(call, end)| Action::Call { call, end }),
-            2 => index.clone().prop_map(|ghost| Action::Ghost { ghost }),
+            2 => index.clone().prop_map(|copy| Action::ApplyCopy { copy }),
             3 => index.clone().prop_map(|ticket| Action::Send { ticket }),
             2 => (index.clone(), node.clone())
                 .prop_map(|(ticket, node)| Action::Record { ticket, node }),
@@ -111,18 +111,18 @@
         ]
 }
 
-/// A call under way, or one whose copy may still arrive.
+/// A call in flight, or one whose copy may still take effect.
 #[derive(Clone, Debug)]
 struct Call {
     node: usize,
-    life: u32,
-    /// The segment that it is about, `None` for the shard.
+    incarnation: u32,
+    /// Target segment, `None` for the shard.
     segment: Option<SegmentRef>,
     /// `None` for a read.
     write: Option<(Condition, String)>,
 }
 
-/// How a ticket's holder gave it up.
+/// How a ticket was settled.
 #[derive(Clone, Debug, Eq, PartialEq)]
 enum Settled {
     Recorded(Recorded),
@@ -130,65 +130,65 @@
     Unknown,
 }
 
-/// The real history of one `begin`.
+/// Actual history of one `begin`.
 #[derive(Clone, Debug)]
 struct History {
     wish: ClaimWish,
     key: usize,
     copies: bool,
-    asked: Moment,
-    fresh: bool,
-    refused: bool,
-    sent: Option<Moment>,
+    requested_at: Moment,
+    is_fresh: bool,
+    is_refused: bool,
+    sent_at: Option<Moment>,
     settled: Option<(Moment, Settled)>,
-    acknowledged: Option<Moment>,
+    acknowledged_at: Option<Moment>,
 }
 
-struct World {
+struct Model {
     now: Moment,
     nodes: Vec<Writer>,
-    lives: Vec<u32>,
+    incarnations: Vec<u32>,
     value: Option<(Version, String)>,
     segments: HashMap<SegmentRef, String>,
     version: u64,
     calls: Vec<Call>,
-    ghosts: Vec<Call>,
+    late_writes: Vec<Call>,
     begins: Vec<History>,
-    ops: HashMap<OpId, (usize, usize)>,
+    operations: HashMap<OpId, (usize, usize)>,
     next: OpId,
 }
 
-fn pick<T>(items: &[T], index: usize) -> Option<usize> {
+fn pick_index<T>(items: &[T], index: usize) -> Option<usize> {
     (!items.is_empty()).then(|| index % items.len())
 }
 
 type Checked = Result<(), TestCaseError>;
 
-impl World {
+impl Model {
     fn new() -> Self {
         Self {
             now: Moment(1_000_000),
             nodes: (0..NODES).map(|_| Writer::new(limits())).collect(),
-            lives: vec![0; NODES],
+            incarnations: vec![0; NODES],
             value: None,
             segments: HashMap::new(),
             version: 0,
             calls: Vec::new(),
-            ghosts: Vec::new(),
+            late_writes: Vec::new(),
             begins: Vec::new(),
-            ops: HashMap::new(),
+            operations: HashMap::new(),
             next: 0,
         }
     }
 
-    /// Clocks of the instances have nothing in common but their speed.
+    /// Instance clocks run at the same rate with different offsets.
     fn clock(&self, node: usize) -> Moment {
         Moment(self.now.0 + node as u64 * 77_000_000)
     }
 
-    fn on(&mut self, node: usize, event: Event) -> Checked {
+    fn handle(&mut self, node: usize, event: Event) -> Checked {
         let clock = self.clock(node);
-        let effects = self.nodes[node].on(clock, event);
+        let effects = self.nodes[node].handle(clock, event);
         for effect in effects {
             match effect {
                 Effect::Read => self.call_store(node, None, None),
@@ -214,42 +214,45 @@
         segment: Option<SegmentRef>,
         write: Option<(Condition, String)>,
     ) {
-        let life = self.lives[node];
+        let incarnation = self.incarnations[node];
         self.calls.push(Call {
             node,
-            life,
+            incarnation,
             segment,
             write,
         });
     }
 
-    fn ask(&mut self, node: usize, begin: usize, op: ClaimOp) -> Checked {
+    fn request(&mut self, node: usize, begin: usize, op: ClaimOp) -> Checked {
         let number = self.next;
         self.next += 1;
-        self.ops.insert(number, (node, begin));
+        self.operations.insert(number, (node, begin));
         let claim = id(self.begins[begin].key);
-        self.on(node, Event::Asked(number, ClaimCall { claim, op }))
+        self.handle(node, Event::Requested(number, ClaimCall { claim, op }))
     }
 
     fn reply(&mut self, op: OpId, answer: ClaimAnswer) -> Checked {
-        let (node, begin) = self.ops.remove(&op).expect("one reply to each operation");
+        let (node, begin) = self
+            .operations
+            .remove(&op)
+            .expect("one reply per operation");
         if answer == ClaimAnswer::Done {
-            self.begins[begin].acknowledged.get_or_insert(self.now);
+            self.begins[begin].acknowledged_at.get_or_insert(self.now);
             return Ok(());
         }
-        if self.begins[begin].settled.is_some() || self.begins[begin].refused {
-            // The asker of a repeated begin takes the first answer only.
+        if self.begins[begin].settled.is_some() || self.begins[begin].is_refused {
+            // The sender of a repeated `begin` uses only the first answer.
             return Ok(());
         }
         match answer {
-            ClaimAnswer::Fresh => self.begins[begin].fresh = true,
+            ClaimAnswer::Fresh => self.begins[begin].is_fresh = true,
             other => {
-                if !self.begins[begin].fresh {
-                    self.begins[begin].refused = true;
+                if !self.begins[begin].is_fresh {
+                    self.begins[begin].is_refused = true;
                     self.check_refusal(begin, &other)?;
                     if self.begins[begin].copies {
                         let token = self.begins[begin].wish.token;
-                        return self.ask(node, begin, ClaimOp::Release(token));
+                        return self.request(node, begin, ClaimOp::Release(token));
                     }
                 }
             }
@@ -257,7 +260,7 @@
         Ok(())
     }
 
-    /// Checks that what a refused caller hears is true.
+    /// Checks that a refusal is correct.
     fn check_refusal(&self, begin: usize, answer: &ClaimAnswer) -> Checked {
         let mine = &self.begins[begin];
         let others = || {
@@ -267,7 +270,7 @@
                 .filter(|(i, h)| *i != begin && h.key == mine.key)
         };
         let same = |h: &History| h.wish.fingerprint == mine.wish.fingerprint;
-        let ended = |h: &History| h.acknowledged.is_some_and(|at| at < mine.asked);
+        let ended = |h: &History| h.acknowledged_at.is_some_and(|at| at < mine.requested_at);
         let holds = match answer {
             ClaimAnswer::Answered(found) => others().any(|(i, h)| {
                 let settled = h.settled.as_ref().map(|(_, s)| s);
@@ -281,48 +284,54 @@
                 same(h) && (!ended(h) || settled == Some(&Settled::Unknown))
             }),
             ClaimAnswer::Mismatch => others().any(|(_, h)| !same(h)),
-            ClaimAnswer::Unavailable | ClaimAnswer::Busy | ClaimAnswer::Full => mine.sent.is_none(),
+            ClaimAnswer::Unavailable | ClaimAnswer::Busy | ClaimAnswer::Full => {
+                mine.sent_at.is_none()
+            }
             ClaimAnswer::Fresh | ClaimAnswer::Done | ClaimAnswer::Lost => false,
         };
         prop_assert!(
             holds,
-            "untrue refusal {answer:?} of begin {begin}: {:#?}",
+            "incorrect refusal {answer:?} of begin {begin}: {:#?}",
             self.begins
         );
         Ok(())
     }
 
-    /// One of the begins that hold a ticket whose request was sent, or was not.
+    /// Picks a `begin` with an open ticket whose request was `sent` or not.
     fn holder(&self, index: usize, sent: bool) -> Option<usize> {
-        let holds = |h: &History| h.fresh && h.settled.is_none() && h.sent.is_some() == sent;
+        let holds = |h: &History| h.is_fresh && h.settled.is_none() && h.sent_at.is_some() == sent;
         let holders: Vec<usize> = (0..self.begins.len())
             .filter(|i| holds(&self.begins[*i]))
             .collect();
-        pick(&holders, index).map(|i| holders[i])
+        pick_index(&holders, index).map(|i| holders[i])
     }
 
     fn is_copied(&self, begin: usize) -> bool {
         let history = &self.begins[begin];
-        history.copies && self.now.since(history.asked) < limits().patience
+        history.copies && self.now.since(history.requested_at) < limits().patience
     }
 
     fn send(&mut self, begin: usize) -> Checked {
         let window = limits().window;
         let history = &self.begins[begin];
-        if self.now.since(history.asked) >= window {
+        if self.now.since(history.requested_at) >= window {
             return Ok(());
         }
         for (i, other) in self.begins.iter().enumerate() {
-            if i == begin || other.key != history.key || other.sent.is_none() {
+            if i == begin || other.key != history.key || other.sent_at.is_none() {
                 continue;
             }
-            let kept = match &other.settled {
+            let is_retained = match &other.settled {
                 Some((at, _)) => self.now.since(*at) < limits().keep,
-                None => self.now.since(other.asked) < limits().orphan,
+                None => self.now.since(other.requested_at) < limits().orphan,
             };
-            prop_assert!(!kept, "begins {i} and {begin} both ran: {:#?}", self.begins);
+            prop_assert!(
+                !is_retained,
+                "begins {i} and {begin} both ran: {:#?}",
+                self.begins
+            );
         }
-        self.begins[begin].sent = Some(self.now);
+        self.begins[begin].sent_at = Some(self.now);
         Ok(())
     }
 
@@ -335,7 +344,7 @@
             Settled::Released => ClaimOp::Release(token),
             Settled::Unknown => ClaimOp::Settle(token, ClaimState::Unknown),
         };
-        self.ask(node, begin, op)
+        self.request(node, begin, op)
     }
 
     fn write(
@@ -365,12 +374,12 @@
         WriteEnd::Written(version)
     }
 
-    fn read(&self) -> ReadEnd {
+    fn read(&self) -> ReadResult {
         match &self.value {
-            None => ReadEnd::Absent,
+            None => ReadResult::Absent,
             Some((version, value)) => {
-                let shard = ClaimShard::decode(value).expect("written by a writer");
-                ReadEnd::Found(*version, shard)
+                let shard = ClaimShard::decode(value).expect("a valid shard");
+                ReadResult::Found(*version, shard)
             }
         }
     }
@@ -382,11 +391,11 @@
                 match call.segment {
                     Some(segment) => {
                         let value = self.segments.get(&segment).filter(|_| answered);
-                        let claims = value.map(|v| ClaimShard::decode(v).expect("a segment"));
+                        let claims = value.map(|v| ClaimShard::decode(v).expect("a valid segment"));
                         Event::Segment(segment, claims)
                     }
                     None if answered => Event::Read(self.read()),
-                    None => Event::Read(ReadEnd::Failed),
+                    None => Event::Read(ReadResult::Failed),
                 }
             }
             Some((condition, value)) => {
@@ -394,7 +403,7 @@
                     !matches!(end, CallEnd::CallLost | CallEnd::Down | CallEnd::Delayed);
                 let written = effective.then(|| self.write(call.segment, *condition, value));
                 if matches!(end, CallEnd::Delayed | CallEnd::Repeated) {
-                    self.ghosts.push(call.clone());
+                    self.late_writes.push(call.clone());
                 }
                 let ended = match end {
                     CallEnd::Answered | CallEnd::Repeated => written.unwrap_or(WriteEnd::Unknown),
@@ -407,8 +416,8 @@
                 }
             }
         };
-        if self.lives[call.node] == call.life {
-            self.on(call.node, event)?;
+        if self.incarnations[call.node] == call.incarnation {
+            self.handle(call.node, event)?;
         }
         Ok(())
     }
@@ -418,47 +427,47 @@
             Action::Begin {
                 node,
                 key,
-                print,
+                fingerprint,
                 copies,
             } => {
                 let token = Token(self.begins.len() as u128);
                 let wish = ClaimWish {
                     token,
-                    fingerprint: Fingerprint(print),
+                    fingerprint: Fingerprint(fingerprint),
                     request: RequestId(token.0),
                 };
                 self.begins.push(History {
                     wish,
                     key,
                     copies,
-                    asked: self.now,
-                    fresh: false,
-                    refused: false,
-                    sent: None,
+                    requested_at: self.now,
+                    is_fresh: false,
+                    is_refused: false,
+                    sent_at: None,
                     settled: None,
-                    acknowledged: None,
+                    acknowledged_at: None,
                 });
-                self.ask(node, self.begins.len() - 1, ClaimOp::Begin(wish))
+                self.request(node, self.begins.len() - 1, ClaimOp::Begin(wish))
             }
-            Action::BeginAgain { node, begin } => match pick(&self.begins, begin) {
+            Action::BeginAgain { node, begin } => match pick_index(&self.begins, begin) {
                 Some(begin) if self.is_copied(begin) => {
                     let wish = self.begins[begin].wish;
-                    self.ask(node, begin, ClaimOp::Begin(wish))
+                    self.request(node, begin, ClaimOp::Begin(wish))
                 }
                 _ => Ok(()),
             },
-            Action::Call { call, end } => match pick(&self.calls, call) {
+            Action::Call { call, end } => match pick_index(&self.calls, call) {
                 Some(index) => {
                     let call = self.calls.remove(index);
                     self.call(&call, end)
                 }
                 None => Ok(()),
             },
-            Action::Ghost { ghost } => {
-                if let Some(index) = pick(&self.ghosts, ghost)
-                    && let Some((condition, value)) = self.ghosts[index].write.clone()
+            Action::ApplyCopy { copy } => {
+                if let Some(index) = pick_index(&self.late_writes, copy)
+                    && let Some((condition, value)) = self.late_writes[index].write.clone()
                 {
-                    self.write(self.ghosts[index].segment, condition, &value);
+                    self.write(self.late_writes[index].segment, condition, &value);
                 }
                 Ok(())
             }
@@ -480,29 +489,33 @@
             },
             Action::Restart { node } => {
                 self.nodes[node] = Writer::new(limits());
-                self.lives[node] += 1;
-                self.ops.retain(|_, (at, _)| *at != node);
+                self.incarnations[node] += 1;
+                self.operations.retain(|_, (at, _)| *at != node);
                 Ok(())
             }
             Action::Advance { millis } => {
                 self.now = self.now.after(Duration::from_millis(millis));
-                (0..NODES).try_for_each(|node| self.on(node, Event::Tick))
+                (0..NODES).try_for_each(|node| self.handle(node, Event::Tick))
             }
         }
     }
 
-    /// Lets the store answer everything until nothing is left to do.
+    /// Answers all store calls until every operation has completed.
     fn drain(&mut self) -> Checked {
         for _ in 0..400 {
             while let Some(call) = self.calls.pop() {
                 self.call(&call, CallEnd::Answered)?;
             }
-            if self.ops.is_empty() {
+            if self.operations.is_empty() {
                 return Ok(());
             }
             self.act(Action::Advance { millis: 5 })?;
         }
-        prop_assert!(self.ops.is_empty(), "unanswered operations {:?}", self.ops);
+        prop_assert!(
+            self.operations.is_empty(),
+            "unanswered operations {:?}",
+            self.operations
+        );
         Ok(())
     }
 }
@@ -518,15 +531,15 @@
     let (runs, refusals, segments) = (Cell::new(0), Cell::new(0), Cell::new(0));
     let mut runner = TestRunner::new_with_rng(config, rng);
     let result = runner.run(&vec(action(), 1..60), |actions| {
-        let mut world = World::new();
+        let mut model = Model::new();
         for action in actions {
-            world.act(action)?;
+            model.act(action)?;
         }
-        world.drain()?;
-        let count = |f: fn(&History) -> bool| world.begins.iter().filter(|h| f(h)).count();
-        runs.set(runs.get() + count(|h| h.sent.is_some()));
-        refusals.set(refusals.get() + count(|h| h.refused));
-        segments.set(segments.get() + world.segments.len());
+        model.drain()?;
+        let count = |f: fn(&History) -> bool| model.begins.iter().filter(|h| f(h)).count();
+        runs.set(runs.get() + count(|h| h.sent_at.is_some()));
+        refusals.set(refusals.get() + count(|h| h.is_refused));
+        segments.set(segments.get() + model.segments.len());
         Ok(())
     });
     result.unwrap_or_else(|e| panic!("{e}"));
--- a/cornelstand/src/claims.rs
+++ b/cornelstand/src/claims.rs
@@ -1,7 +1,7 @@
-//! Claims of requests that may not be repeated: the shell around the claim protocol.
+//! Claims of non-repeatable requests: the actors that run the claim protocol.
 //!
-//! One actor per shard owns a writer and carries out its calls to the store. A [`ClaimBook`] finds
-//! the shard of a request, and hands out the [`Ticket`] that allows sending it once.
+//! One actor per shard owns a writer and performs its calls to the store. A [`ClaimBook`] finds
+//! the shard of a request and issues the [`Ticket`] that permits sending it once.
 
 use std::collections::HashMap;
 use std::fmt;
@@ -23,29 +23,29 @@
     ClaimAnswer, ClaimCall, ClaimId, ClaimOp, ClaimShard, ClaimState, ClaimWish, Recorded, Token,
 };
 use crate::claim_segment::SegmentRef;
-use crate::claim_shard::{ClaimLimits, Effect, Event, OpId, ReadEnd, WriteEnd, Writer};
+use crate::claim_shard::{ClaimLimits, Effect, Event, OpId, ReadResult, WriteEnd, Writer};
 use crate::moment::{Clock, Moment};
 use crate::name::{AccountName, Fingerprint, RequestId};
 use crate::store::{Condition, ObjectKind, Store, StoreError, Version};
 
-/// Error of a call to the claims.
+/// Error of a claim operation.
 ///
-/// From [`ClaimBook::begin`] each of them means that the request was not and will not be run.
+/// From [`ClaimBook::begin`] it means that the request was not and will not be run.
 #[derive(Clone, Copy, Debug, Eq, PartialEq, Snafu)]
 pub enum ClaimError {
-    /// The store gave no clear answer in time.
+    /// The store gave no definite answer in time.
     #[snafu(display("the claim store is unavailable"))]
     Unavailable,
-    /// The shard of the key has no room for another claim.
+    /// The shard of the key is full.
     #[snafu(display("the claim store is full"))]
     Full,
-    /// Too many claims wait for the store.
+    /// Too many claims are queued.
     #[snafu(display("too many claims are waiting"))]
     Busy,
     /// The claim to settle is not in the store.
     #[snafu(display("the claim does not exist"))]
     Lost,
-    /// The claims are shut down.
+    /// The claim actors have stopped.
     #[snafu(display("the claims are shut down"))]
     Stopped,
 }
@@ -55,14 +55,14 @@
 type DeleteCall = dyn Fn(&str) -> BoxFuture<'static, ()> + Send + Sync;
 type PutCall = dyn Fn(&str, Condition, String) -> BoxFuture<'static, WriteEnd> + Send + Sync;
 
-/// The calls to the object API that claims need, on objects of kind `claim`.
+/// Object API calls used by claims, on objects of kind `claim`.
 #[derive(Clone)]
 pub struct ClaimObjects {
-    /// Reads an object by name, `None` if it does not exist, an error if no answer came.
+    /// Reads an object by name; `None` if it does not exist, an error without an answer.
     pub get: Arc<GetCall>,
-    /// Writes an object by name under a condition.
+    /// Conditionally writes an object by name.
     pub put: Arc<PutCall>,
-    /// Deletes an object that never changes, once. Nothing depends on it but the store's room.
+    /// Deletes an immutable object. Tried once: a failure only wastes storage.
     pub delete: Arc<DeleteCall>,
 }
 
@@ -86,7 +86,7 @@
 
 async fn delete(store: Store, name: String) {
     if let Ok(Some(object)) = store.get(ObjectKind::Claim, &name).await {
-        // An object that stays takes room, and no more than that.
+        // Best effort: a remaining object only wastes storage.
         let _ = store.delete(ObjectKind::Claim, &name, object.version).await;
     }
 }
@@ -94,12 +94,12 @@
 async fn put(store: Store, name: String, condition: Condition, value: String) -> WriteEnd {
     match store.put(ObjectKind::Claim, &name, condition, value).await {
         Ok(version) => WriteEnd::Written(version),
-        Err(error) => write_end(&error),
+        Err(error) => write_result(&error),
     }
 }
 
-/// What a failed write says about its effect. Answers of unclear origin leave it open.
-fn write_end(error: &StoreError) -> WriteEnd {
+/// Effect of a failed write. Ambiguous responses leave it unknown.
+fn write_result(error: &StoreError) -> WriteEnd {
     match error {
         StoreError::Conflict { .. } => WriteEnd::Conflict,
         StoreError::Unreachable { .. } | StoreError::TooLarge { .. } => WriteEnd::NotWritten,
@@ -111,49 +111,52 @@
     }
 }
 
-/// Carries an operation on a shard to the instance that writes it, `None` if that is this one.
+/// Forwards an operation on a shard to the instance that writes it, `None` if that is this one.
 ///
-/// The future gives `None` if no answer came; the operation is then applied here, which may write
-/// beside the other instance: the versions of the store keep that safe.
+/// The future yields `None` without an answer. The operation is then applied locally, possibly
+/// concurrently with the other instance; conditional writes keep that safe.
 pub type ClaimRoute =
     Arc<dyn Fn(u16, &ClaimCall) -> Option<BoxFuture<'static, Option<ClaimAnswer>>> + Send + Sync>;
 
-/// The writers of all shards and the way to those of other instances.
+/// Local writers of all shards and the route to other instances.
 struct Shards {
     limits: ClaimLimits,
     actors: Vec<Address<ShardActor>>,
     route: Option<ClaimRoute>,
 }
 
-/// An answer, and whether copies of the operation may still arrive somewhere.
+/// An answer, and whether copies of the operation may still arrive elsewhere.
 struct Answered {
     answer: Result<ClaimAnswer, ClaimError>,
-    copied: bool,
+    may_be_copied: bool,
 }
 
 impl Shards {
-    async fn ask(&self, call: ClaimCall) -> Answered {
+    async fn request(&self, call: ClaimCall) -> Answered {
         let remote = self.route.as_ref();
         let remote = remote.and_then(|route| route(self.index(&call), &call));
-        let copied = remote.is_some();
+        let may_be_copied = remote.is_some();
         if let Some(remote) = remote
             && let Ok(Some(answer)) = timeout(self.limits.patience, remote).await
         {
             return Answered {
                 answer: Ok(answer),
-                copied,
+                may_be_copied,
             };
         }
-        let answer = self.ask_here(call).await;
-        Answered { answer, copied }
+        let answer = self.request_local(call).await;
+        Answered {
+            answer,
+            may_be_copied,
+        }
     }
 
-    async fn ask_here(&self, call: ClaimCall) -> Result<ClaimAnswer, ClaimError> {
+    async fn request_local(&self, call: ClaimCall) -> Result<ClaimAnswer, ClaimError> {
         let (reply, answer) = oneshot::channel();
         let actor = self.actors.get(usize::from(self.index(&call)));
         let actor = actor.context(StoppedSnafu)?;
-        let asked = actor.send(Asked { call, reply }).await;
-        asked.map_err(|_| ClaimError::Stopped)?;
+        let sent = actor.send(ShardRequest { call, reply }).await;
+        sent.map_err(|_| ClaimError::Stopped)?;
         answer.await.map_err(|_| ClaimError::Stopped)
     }
 
@@ -162,10 +165,10 @@
     }
 }
 
-/// The right to send one claimed request once.
+/// Permission to send one claimed request once.
 ///
-/// It cannot be copied and is given up by settling it, so a settled claim can never be sent.
-/// A ticket that is dropped without that is settled as unknown.
+/// It cannot be copied and settling consumes it, so a settled request can never be sent.
+/// Dropping a ticket settles it as unknown.
 #[must_use = "a ticket has to be recorded, released or settled as unknown"]
 pub struct Ticket {
     claim: ClaimId,
@@ -181,78 +184,78 @@
 }
 
 impl Ticket {
-    /// Tells whether the request may still be sent at `now`.
+    /// Returns whether the request may still be sent at `now`.
     ///
-    /// To be asked right before the first byte is written. A holder that was paused past its
-    /// window must not send, because others may have given up its claim.
+    /// Must be checked right before the first byte is written. A holder paused past its window
+    /// must not send, because its claim may have expired for others.
     #[must_use]
     pub fn is_sendable(&self, now: Moment) -> bool {
         now < self.until
     }
 
-    /// Drops the ticket without an operation: it holds no claim.
-    fn forget(mut self) {
+    /// Drops a ticket that holds no claim, without an operation.
+    fn discard(mut self) {
         self.shards = None;
     }
 
-    /// Starts the last operation of the ticket, which goes on by itself.
-    fn end(&mut self, op: ClaimOp) -> Option<JoinHandle<Answered>> {
+    /// Starts the ticket's final operation in the background.
+    fn start_final(&mut self, op: ClaimOp) -> Option<JoinHandle<Answered>> {
         let shards = self.shards.take()?;
         let claim = self.claim;
         let runtime = Handle::try_current().ok()?;
-        let mut asking = async move { shards.ask(ClaimCall { claim, op }).await }.boxed();
-        // The first poll posts the operation, ahead of whatever the caller does next.
-        Some(match (&mut asking).now_or_never() {
+        let mut request = async move { shards.request(ClaimCall { claim, op }).await }.boxed();
+        // Polling once enqueues the operation before the caller continues.
+        Some(match (&mut request).now_or_never() {
             Some(answered) => runtime.spawn(ready(answered)),
-            None => runtime.spawn(asking),
+            None => runtime.spawn(request),
         })
     }
 
-    /// Settles the ticket and waits for it. The operation goes on when the future is dropped.
+    /// Settles the ticket and waits. Dropping the future does not cancel the operation.
     async fn settle(mut self, op: ClaimOp) -> Result<(), ClaimError> {
-        let end = self.end(op).context(StoppedSnafu)?;
-        let answered = end.await.map_err(|_| ClaimError::Stopped)?;
+        let operation = self.start_final(op).context(StoppedSnafu)?;
+        let answered = operation.await.map_err(|_| ClaimError::Stopped)?;
         match answered.answer? {
             ClaimAnswer::Done => Ok(()),
-            other => Err(failure(&other)),
+            other => Err(error_from(&other)),
         }
     }
 }
 
 impl Drop for Ticket {
     fn drop(&mut self) {
-        self.end(ClaimOp::Settle(self.token, ClaimState::Unknown));
+        self.start_final(ClaimOp::Settle(self.token, ClaimState::Unknown));
     }
 }
 
-/// A ticket that was not handed out. Dropping it releases the claim.
-struct Unsent(Option<Ticket>);
+/// A ticket not yet issued. Dropping it releases the claim.
+struct UnissuedTicket(Option<Ticket>);
 
-impl Drop for Unsent {
+impl Drop for UnissuedTicket {
     fn drop(&mut self) {
         if let Some(mut ticket) = self.0.take() {
             let op = ClaimOp::Release(ticket.token);
-            ticket.end(op);
+            ticket.start_final(op);
         }
     }
 }
 
-/// What a `begin` found.
+/// Outcome of a `begin`.
 #[derive(Debug, IsVariant)]
 pub enum Begun {
-    /// Nobody else may send this request; the caller may, once.
+    /// The caller alone may send this request, once.
     Fresh(Ticket),
     /// The request was answered before.
     Answered(Recorded),
-    /// Another instance or connection holds the claim and may be running the request.
+    /// Another instance or connection holds the claim and may run the request.
     Running,
-    /// The request was sent and its end is not known, or its holder was not heard of for too long.
+    /// The request was sent with unknown outcome, or its claim has been open for too long.
     Unknown,
     /// The key was used for a different request.
     Mismatch,
 }
 
-/// The claims of the fleet as one instance sees them. Clones share the actors.
+/// One instance's access to the fleet's claims. Clones share the actors.
 #[derive(Clone)]
 pub struct ClaimBook {
     clock: Clock,
@@ -277,10 +280,10 @@
         Self { clock, shards }
     }
 
-    /// The same claims with a route to other instances.
+    /// Returns the same claims with a route to other instances.
     ///
-    /// One instance then writes each shard in the ordinary case, so that the claims of all
-    /// instances share its writes.
+    /// Each shard is then normally written by one instance, so that all instances' claims share
+    /// its writes.
     #[must_use]
     pub fn with_route(&self, route: ClaimRoute) -> Self {
         let shards = Shards {
@@ -294,18 +297,18 @@
         }
     }
 
-    /// Carries out an operation that another instance has routed here.
+    /// Performs an operation routed here by another instance.
     ///
     /// # Errors
     ///
     /// [`ClaimError::Stopped`].
     pub async fn serve(&self, call: ClaimCall) -> Result<ClaimAnswer, ClaimError> {
-        self.shards.ask_here(call).await
+        self.shards.request_local(call).await
     }
 
-    /// Claims the request of `account` with idempotency key `key`, before it is sent.
+    /// Claims the request of `account` with idempotency key `key` before it is sent.
     ///
-    /// A claim whose `begin` is cancelled is released.
+    /// Cancelling the future releases the claim.
     ///
     /// # Errors
     ///
@@ -325,54 +328,54 @@
             until: self.clock.now().after(self.shards.limits.window),
             shards: Some(self.shards.clone()),
         };
-        let mut unsent = Unsent(Some(ticket));
+        let mut unissued = UnissuedTicket(Some(ticket));
         let op = ClaimOp::Begin(ClaimWish {
             token,
             fingerprint,
             request,
         });
-        let answered = self.shards.ask(ClaimCall { claim, op }).await;
-        if answered.copied && answered.answer != Ok(ClaimAnswer::Fresh) {
-            // Dropping the ticket keeps a late copy from claiming.
-            drop(unsent);
-            return found(answered.answer?);
+        let answered = self.shards.request(ClaimCall { claim, op }).await;
+        if answered.may_be_copied && answered.answer != Ok(ClaimAnswer::Fresh) {
+            // Dropping the ticket prevents a late copy from claiming.
+            drop(unissued);
+            return begun_from(answered.answer?);
         }
-        let ticket = unsent.0.take().context(StoppedSnafu)?;
+        let ticket = unissued.0.take().context(StoppedSnafu)?;
         if answered.answer == Ok(ClaimAnswer::Fresh) {
             return Ok(Begun::Fresh(ticket));
         }
-        ticket.forget();
-        found(answered.answer?)
+        ticket.discard();
+        begun_from(answered.answer?)
     }
 
-    /// Tells whether the request of `ticket` may be sent now. Ask right before the first byte.
+    /// Returns whether `ticket` permits sending now. Check right before the first byte.
     #[must_use]
     pub fn is_sendable(&self, ticket: &Ticket) -> bool {
         ticket.is_sendable(self.clock.now())
     }
 
-    /// Keeps the answer of a request for callers that send it again.
+    /// Stores the answer of a request for callers that repeat it.
     ///
     /// # Errors
     ///
-    /// Any [`ClaimError`]: the answer may not have been kept.
+    /// Any [`ClaimError`]: the answer may not be stored.
     pub async fn record(&self, ticket: Ticket, recorded: Recorded) -> Result<(), ClaimError> {
         let state = ClaimState::Recorded(recorded);
         let op = ClaimOp::Settle(ticket.token, state);
         ticket.settle(op).await
     }
 
-    /// Gives up the claim of a request of which no byte was sent.
+    /// Releases the claim of a request of which no byte was sent.
     ///
     /// # Errors
     ///
-    /// Any [`ClaimError`]: the claim may still be there, and the key then counts as running.
+    /// Any [`ClaimError`]: the claim may remain, and the key then counts as running.
     pub async fn release(&self, ticket: Ticket) -> Result<(), ClaimError> {
         let op = ClaimOp::Release(ticket.token);
         ticket.settle(op).await
     }
 
-    /// Notes that a request was sent and its end is not known.
+    /// Records that a request was sent with unknown outcome.
     ///
     /// # Errors
     ///
@@ -383,18 +386,18 @@
     }
 }
 
-/// What a `begin` that claimed nothing found.
-fn found(answer: ClaimAnswer) -> Result<Begun, ClaimError> {
+/// Converts the answer to a failed `begin`.
+fn begun_from(answer: ClaimAnswer) -> Result<Begun, ClaimError> {
     match answer {
         ClaimAnswer::Answered(recorded) => Ok(Begun::Answered(recorded)),
         ClaimAnswer::Running => Ok(Begun::Running),
         ClaimAnswer::Unknown => Ok(Begun::Unknown),
         ClaimAnswer::Mismatch => Ok(Begun::Mismatch),
-        other => Err(failure(&other)),
+        other => Err(error_from(&other)),
     }
 }
 
-fn failure(answer: &ClaimAnswer) -> ClaimError {
+fn error_from(answer: &ClaimAnswer) -> ClaimError {
     match answer {
         ClaimAnswer::Full => ClaimError::Full,
         ClaimAnswer::Busy => ClaimError::Busy,
@@ -403,7 +406,7 @@
     }
 }
 
-struct Asked {
+struct ShardRequest {
     call: ClaimCall,
     reply: oneshot::Sender<ClaimAnswer>,
 }
@@ -416,7 +419,7 @@
     writer: Writer,
     next: OpId,
     replies: HashMap<OpId, oneshot::Sender<ClaimAnswer>>,
-    wake: Option<Moment>,
+    next_wake: Option<Moment>,
 }
 
 impl Actor for ShardActor {
@@ -434,7 +437,7 @@
             writer: Writer::new(limits),
             next: 0,
             replies: HashMap::new(),
-            wake: None,
+            next_wake: None,
         }
     }
 
@@ -442,8 +445,8 @@
         format!("{}-{segment}", self.name)
     }
 
-    fn on(&mut self, event: Event, mailbox: &Mailbox<Self>) {
-        let effects = self.writer.on(self.clock.now(), event);
+    fn handle_event(&mut self, event: Event, mailbox: &Mailbox<Self>) {
+        let effects = self.writer.handle(self.clock.now(), event);
         for effect in effects {
             self.perform(effect, mailbox);
         }
@@ -454,13 +457,13 @@
         match effect {
             Effect::Reply(op, answer) => {
                 if let Some(reply) = self.replies.remove(&op) {
-                    // The asker may have gone; its ticket then releases the claim.
+                    // If the receiver is dropped, its ticket releases the claim.
                     let _ = reply.send(answer);
                 }
             }
             Effect::Read => {
                 let call = (self.objects.get)(&self.name);
-                spawn(actor, call.map(|end| Event::Read(read_end(end))));
+                spawn(actor, call.map(|end| Event::Read(read_result(end))));
             }
             Effect::Write(condition, value) => {
                 let call = (self.objects.put)(&self.name, condition, value);
@@ -468,9 +471,9 @@
             }
             Effect::ReadSegment(segment) => {
                 let call = (self.objects.get)(&self.segment_name(segment));
-                let claims = |end| match read_end(end) {
-                    ReadEnd::Found(_, claims) => Some(claims),
-                    ReadEnd::Absent | ReadEnd::Failed => None,
+                let claims = |end| match read_result(end) {
+                    ReadResult::Found(_, claims) => Some(claims),
+                    ReadResult::Absent | ReadResult::Failed => None,
                 };
                 spawn(
                     actor,
@@ -485,8 +488,8 @@
             Effect::DropSegment(segment) => {
                 tokio::spawn((self.objects.delete)(&self.segment_name(segment)));
             }
-            Effect::Wake(at) if self.wake.is_none_or(|set| at < set) => {
-                self.wake = Some(at);
+            Effect::Wake(at) if self.next_wake.is_none_or(|set| at < set) => {
+                self.next_wake = Some(at);
                 let sleep = sleep_until(self.clock.instant(at));
                 spawn(actor, sleep.map(|()| Event::Tick));
             }
@@ -495,36 +498,36 @@
     }
 }
 
-/// Runs a call and sends its end to the actor.
+/// Runs a call and sends its result to the actor.
 fn spawn(actor: WeakAddress<ShardActor>, call: impl Future<Output = Event> + Send + 'static) {
     tokio::spawn(async move {
-        // The actor may have stopped meanwhile; nobody waits for the event then.
+        // If the actor has stopped, nothing waits for the event.
         let _ = actor.send(call.await).await;
     });
 }
 
-fn read_end(end: Result<Option<(Version, String)>, ()>) -> ReadEnd {
+fn read_result(end: Result<Option<(Version, String)>, ()>) -> ReadResult {
     match end {
-        Ok(None) => ReadEnd::Absent,
+        Ok(None) => ReadResult::Absent,
         Ok(Some((version, value))) => match ClaimShard::decode(&value) {
-            Ok(shard) => ReadEnd::Found(version, shard),
+            Ok(shard) => ReadResult::Found(version, shard),
             Err(error) => {
-                warn!(%error, "unreadable claim object");
-                ReadEnd::Failed
+                warn!(%error, "cannot decode claim object");
+                ReadResult::Failed
             }
         },
-        Err(()) => ReadEnd::Failed,
+        Err(()) => ReadResult::Failed,
     }
 }
 
-impl Handler<Asked> for ShardActor {
+impl Handler<ShardRequest> for ShardActor {
     type Return = ();
 
-    async fn handle(&mut self, ask: Asked, ctx: &mut Context<Self>) {
+    async fn handle(&mut self, request: ShardRequest, ctx: &mut Context<Self>) {
         let op = self.next;
         self.next += 1;
-        self.replies.insert(op, ask.reply);
-        self.on(Event::Asked(op, ask.call), ctx.mailbox());
+        self.replies.insert(op, request.reply);
+        self.handle_event(Event::Requested(op, request.call), ctx.mailbox());
     }
 }
 
@@ -533,8 +536,8 @@
 
     async fn handle(&mut self, event: Event, ctx: &mut Context<Self>) {
         if event == Event::Tick {
-            self.wake = None;
+            self.next_wake = None;
         }
-        self.on(event, ctx.mailbox());
+        self.handle_event(event, ctx.mailbox());
     }
 }
