--- a/cornelstand/tests/agree/figures.rs
+++ b/cornelstand/tests/agree/figures.rs
@@ -1,5 +1,5 @@
-//! Figures that follow from the machines alone, as snapshots: traffic of the gossip and calls to
-//! the store for the leases.
+//! Snapshots of costs that follow from the state machines alone: gossip traffic, and store calls
+//! for leases.
 
 use cornelstand::{CellId, Epoch, MemberInput, MemberState, Revision};
 use rstest::rstest;
@@ -9,34 +9,34 @@
 use crate::ring::Ring;
 use crate::swarm::{Swarm, name};
 
-/// Bytes a second that an instance may spend on control, by the target.
-const BUDGET: u64 = 24_000;
+/// Target for the control traffic of an instance, in bytes per second.
+const MAX_BYTES_PER_SECOND: u64 = 24_000;
 
-/// Seconds in which a note has to be in force everywhere.
-const NOTE_SECONDS: u64 = 11;
+/// Time limit for a note to take effect on all instances.
+const MAX_NOTE_SECONDS: u64 = 11;
 
-/// Seconds over which rates are taken.
-const SECONDS: u64 = 20;
+/// Averaging period of rates.
+const SAMPLE_SECONDS: u64 = 20;
 
 #[derive(Debug, Serialize)]
 struct Traffic {
     members: usize,
     cells: usize,
-    /// Seconds until all know all after all started at once.
+    /// Seconds until full membership after a simultaneous start.
     joined: u64,
-    /// Bytes a second and instance, sent and received, when nothing happens but claims.
+    /// Bytes per second and instance, sent and received, with claims as the only events.
     quiet: u64,
-    /// The same while one member in ten is restarted each minute and a note comes every 10 s.
+    /// The same with one member in ten restarted per minute and a note every 10 s.
     busy: u64,
-    /// Messages a second and instance, sent and received.
+    /// Messages per second and instance, sent and received.
     messages: u64,
-    /// Most seconds from a revision's acceptance until all know of it, of three.
+    /// Maximum seconds, over three revisions, from acceptance until all know the revision.
     revision: u64,
-    /// Seconds until a killed member is dead everywhere.
+    /// Seconds until all members consider a killed member dead.
     dead: u64,
 }
 
-fn claims(swarm: &mut Swarm, cells: usize, round: u64) {
+fn send_claims(swarm: &mut Swarm, cells: usize, round: u64) {
     for index in 0..cells {
         let claim = MemberInput::Claim {
             cell: CellId {
@@ -51,14 +51,14 @@
     }
 }
 
-/// Bytes and messages a second and instance over `seconds`, with what `each` does.
+/// Bytes and messages per second and instance over `seconds`, running `each` every second.
 fn rates(swarm: &mut Swarm, seconds: u64, mut each: impl FnMut(&mut Swarm, u64)) -> (u64, u64) {
     (swarm.bytes, swarm.messages) = (0, 0);
     for second in 0..seconds {
         each(swarm, second);
         swarm.second();
     }
-    // A message is sent by one instance and received by another.
+    // Each message counts twice, at its sender and its receiver.
     let share = swarm.nodes.len() as u64 * seconds;
     (2 * swarm.bytes / share, 2 * swarm.messages / share)
 }
@@ -66,9 +66,9 @@
 fn traffic(count: usize, cells: usize) -> Traffic {
     let mut swarm = Swarm::new(count, 42);
     let joined = swarm.until(300, Swarm::is_agreed).expect("agreement");
-    let (quiet, messages) = rates(&mut swarm, SECONDS, |s, second| {
+    let (quiet, messages) = rates(&mut swarm, SAMPLE_SECONDS, |s, second| {
         if second % 2 == 0 {
-            claims(s, cells, second);
+            send_claims(s, cells, second);
         }
     });
     let mut revision = 0;
@@ -78,9 +78,9 @@
         let seconds = swarm.until(60, |s| s.running().all(|m| m.revision() == value));
         revision = revision.max(seconds.expect("known everywhere"));
     }
-    let (busy, _) = rates(&mut swarm, SECONDS, |s, second| {
+    let (busy, _) = rates(&mut swarm, SAMPLE_SECONDS, |s, second| {
         if second % 2 == 0 {
-            claims(s, cells, second);
+            send_claims(s, cells, second);
         }
         if second.is_multiple_of((600 / count as u64).max(1)) {
             s.start(usize::try_from(second).unwrap_or(0) * 7 % count);
@@ -119,10 +119,10 @@
 fn gossip_stays_within_the_budget(#[case] count: usize, #[case] cells: usize) {
     let figures = traffic(count, cells);
     assert!(
-        figures.quiet < BUDGET && figures.busy < BUDGET,
+        figures.quiet < MAX_BYTES_PER_SECOND && figures.busy < MAX_BYTES_PER_SECOND,
         "{figures:?}"
     );
-    assert!(figures.revision < NOTE_SECONDS, "{figures:?}");
+    assert!(figures.revision < MAX_NOTE_SECONDS, "{figures:?}");
     insta::assert_json_snapshot!(format!("gossip_{count}"), figures);
 }
 
@@ -132,6 +132,6 @@
     run(&mut ring, 300);
     let before = ring.calls;
     run(&mut ring, 3_000);
-    // Five minutes: a renewal every three seconds and nothing else.
+    // Five minutes with only a renewal every three seconds.
     assert_eq!(ring.calls - before, 100);
 }
--- a/cornelstand/tests/agree/lease.rs
+++ b/cornelstand/tests/agree/lease.rs
@@ -1,4 +1,4 @@
-//! No limit is exceeded whatever happens to the owner, its heir, the store and the links.
+//! No limit is exceeded under faults of the owner, its heir, the store and the links.
 
 use cornelstand::{LeaseInput, LeaseView, Part};
 use rand::seq::{IndexedRandom as _, SliceRandom as _};
@@ -8,16 +8,16 @@
 
 use crate::ring::{Fate, Ring};
 
-pub(crate) fn prompt() -> Fate {
+pub(crate) fn no_delay() -> Fate {
     Fate::Arrive(0)
 }
 
-pub(crate) fn views(ring: &mut Ring) {
+pub(crate) fn update_views(ring: &mut Ring) {
     for index in 0..ring.nodes.len() {
         if ring.nodes[index].is_up && ring.nodes[index].paused_until <= ring.step {
             let view = ring.true_view(index);
-            ring.input(index, LeaseInput::View(view), &mut prompt);
-            ring.hear_claims(index, &mut prompt);
+            ring.input(index, LeaseInput::View(view), &mut no_delay);
+            ring.hear_claims(index, &mut no_delay);
         }
     }
 }
@@ -25,9 +25,9 @@
 pub(crate) fn run(ring: &mut Ring, steps: u64) {
     for step in 0..steps {
         if step % 10 == 0 {
-            views(ring);
+            update_views(ring);
         }
-        ring.step(&mut prompt);
+        ring.step(&mut no_delay);
     }
 }
 
@@ -46,7 +46,7 @@
 #[test]
 fn the_owner_borrows_the_half_of_its_heir() {
     let ring = started(3);
-    let (_, lease) = ring.object.as_ref().expect("a lease");
+    let (_, lease) = ring.object.as_ref().expect("a stored lease");
     assert_eq!(lease.kept.name.as_str(), "i0");
     assert_eq!(lease.spare.name.as_str(), "i1");
     assert_eq!(ring.parts(), [Some(Part::Full), None, None]);
@@ -152,7 +152,7 @@
     ring.is_store_up = has_store;
     run(&mut ring, 50);
     ring.nodes[0].is_draining = true;
-    ring.input(0, LeaseInput::Drain, &mut prompt);
+    ring.input(0, LeaseInput::Drain, &mut no_delay);
     run(&mut ring, 50);
     assert_eq!(ring.parts(), [None, Some(Part::Full), None]);
     ring.kill(0);
@@ -185,8 +185,8 @@
     );
 }
 
-/// One random fault, or the end of one.
-fn disturb(ring: &mut Ring, random: &mut ChaCha8Rng) {
+/// Starts or ends a random fault.
+fn toggle_fault(ring: &mut Ring, random: &mut ChaCha8Rng) {
     let count = ring.nodes.len();
     let index = random.random_range(0..count);
     let other = random.random_range(0..count);
@@ -207,8 +207,8 @@
     }
 }
 
-/// A view in which everything but the proof that a process ended may be wrong.
-fn mistaken(ring: &Ring, index: usize, random: &mut ChaCha8Rng) -> LeaseView {
+/// A view in which everything but the proof of ended processes may be wrong.
+fn inaccurate_view(ring: &Ring, index: usize, random: &mut ChaCha8Rng) -> LeaseView {
     let mut view = ring.true_view(index);
     let mut ranked: Vec<_> = ring.nodes.iter().map(|n| n.holder.clone()).collect();
     ranked.shuffle(random);
@@ -220,7 +220,7 @@
     view
 }
 
-fn storm(seed: u64, count: usize, mistakes: bool) -> Ring {
+fn run_random_faults(seed: u64, count: usize, mistakes: bool) -> Ring {
     let mut random = ChaCha8Rng::seed_from_u64(seed);
     let mut fates = ChaCha8Rng::seed_from_u64(seed + 1_000_000);
     let mut fate = || match fates.random_range(0..20) {
@@ -235,7 +235,7 @@
     }
     for step in 0..3_000 {
         if random.random_ratio(1, 25) {
-            disturb(&mut ring, &mut random);
+            toggle_fault(&mut ring, &mut random);
         }
         for index in 0..count {
             let node = &ring.nodes[index];
@@ -243,7 +243,7 @@
                 continue;
             }
             let view = if mistakes && step % 3 == 0 {
-                mistaken(&ring, index, &mut random)
+                inaccurate_view(&ring, index, &mut random)
             } else {
                 ring.true_view(index)
             };
@@ -258,7 +258,7 @@
     ring
 }
 
-pub(crate) fn heal(ring: &mut Ring) {
+pub(crate) fn end_faults(ring: &mut Ring) {
     ring.is_store_up = true;
     ring.is_list_up = true;
     ring.cut.clear();
@@ -277,8 +277,8 @@
     #[values(false, true)] mistakes: bool,
 ) {
     for seed in 0..60 {
-        let mut ring = storm(seed, count, mistakes);
-        heal(&mut ring);
+        let mut ring = run_random_faults(seed, count, mistakes);
+        end_faults(&mut ring);
         run(&mut ring, 600);
         let parts: Vec<Part> = ring.parts().into_iter().flatten().collect();
         assert_eq!(parts, [Part::Full], "seed {seed}, {:?}", ring.object);
--- a/cornelstand/tests/agree/main.rs
+++ b/cornelstand/tests/agree/main.rs
@@ -1,4 +1,4 @@
-//! Leases, membership and the configuration over several instances.
+//! Tests of leases, membership and configuration with several instances.
 
 mod figures;
 mod lease;
--- a/cornelstand/tests/agree/matrix.rs
+++ b/cornelstand/tests/agree/matrix.rs
@@ -1,19 +1,19 @@
-//! Every fault at every step of a cell's ownership, once and twice.
+//! Injects every fault at every step of a cell's ownership, once and twice.
 
 use std::fmt::Write as _;
 
 use cornelstand::{LeaseInput, Part};
 
-use crate::lease::{heal, prompt, run, views};
+use crate::lease::{end_faults, no_delay, run, update_views};
 use crate::ring::{Fate, Ring};
 
-/// Steps of the simulation for which a fault lasts: 30 s.
-const LASTS: u64 = 300;
+/// Duration of a fault in simulation steps: 30 s.
+const FAULT_STEPS: u64 = 300;
 
-/// Steps of the simulation after it until all has to be well: 60 s.
-const HEALS: u64 = 600;
+/// Time allowed for recovery, in simulation steps: 60 s.
+const RECOVERY_STEPS: u64 = 600;
 
-/// A moment in the life of a cell's ownership.
+/// Phase of a cell's ownership.
 #[derive(Clone, Copy, Debug)]
 enum Step {
     Acquire,
@@ -37,7 +37,7 @@
     (Step::CentreBack, "data centre back"),
 ];
 
-/// What goes wrong. The subject is the acting owner, or the first candidate.
+/// Injected fault. Its subject is the acting owner, or else the first candidate.
 #[derive(Clone, Copy, Debug)]
 enum Fault {
     None,
@@ -69,10 +69,10 @@
     (Fault::KilledInOutage, "killed, store and list down"),
 ];
 
-fn at(step: Step) -> Ring {
+fn ring_at(step: Step) -> Ring {
     let mut ring = Ring::new(4);
     if matches!(step, Step::Acquire) {
-        views(&mut ring);
+        update_views(&mut ring);
         return ring;
     }
     run(&mut ring, 60);
@@ -86,7 +86,7 @@
         }
         Step::HandOver => {
             ring.nodes[0].is_draining = true;
-            ring.input(0, LeaseInput::Drain, &mut prompt);
+            ring.input(0, LeaseInput::Drain, &mut no_delay);
         }
         Step::TakeOver | Step::Recover => {
             ring.kill(0);
@@ -99,13 +99,13 @@
         }
         Step::CentreOut => {
             ring.nodes[0].is_draining = true;
-            views(&mut ring);
+            update_views(&mut ring);
         }
         Step::CentreBack => {
             ring.nodes[0].is_draining = true;
             run(&mut ring, 100);
             ring.nodes[0].is_draining = false;
-            views(&mut ring);
+            update_views(&mut ring);
         }
     }
     ring
@@ -117,7 +117,7 @@
     acting.or(running).unwrap_or(0)
 }
 
-/// The first other instance that the lease names.
+/// First other instance named by the lease.
 fn heir(ring: &Ring, subject: usize) -> usize {
     let holders = ring.holders();
     let is_heir = |i: &usize| *i != subject && holders.contains(&ring.nodes[*i].holder);
@@ -137,7 +137,7 @@
             ring.cut.insert(pair(heir));
         }
         Fault::CutFromAll => ring.cut.extend((0..4).filter(|i| *i != subject).map(pair)),
-        Fault::Paused => ring.nodes[subject].paused_until = ring.step + LASTS,
+        Fault::Paused => ring.nodes[subject].paused_until = ring.step + FAULT_STEPS,
         Fault::Killed => ring.kill(subject),
         Fault::Restarted => ring.restart(subject),
         Fault::HeirKilled => ring.kill(heir),
@@ -150,40 +150,40 @@
     }
 }
 
-/// Steps without any part, and with less than the whole limit.
+/// Steps without any part, and with less than the full limit.
 #[derive(Default)]
 struct Cost {
-    none: u64,
-    less: u64,
+    unserved: u64,
+    reduced: u64,
 }
 
-fn pass(ring: &mut Ring, steps: u64, cost: &mut Cost, fate: &mut dyn FnMut() -> Fate) {
+fn advance(ring: &mut Ring, steps: u64, cost: &mut Cost, fate: &mut dyn FnMut() -> Fate) {
     for step in 0..steps {
         if step % 10 == 0 {
-            views(ring);
+            update_views(ring);
         }
         ring.step(fate);
         let parts: Vec<Part> = ring.parts().into_iter().flatten().collect();
         let halves: u32 = parts.iter().map(|p| p.of(2)).sum();
-        cost.none += u64::from(halves == 0);
-        cost.less += u64::from(halves < 2);
+        cost.unserved += u64::from(halves == 0);
+        cost.reduced += u64::from(halves < 2);
     }
 }
 
-/// What a fault costs at a step; panics if a limit is exceeded or the cell does not recover.
+/// Cost of a fault at a step; panics if a limit is exceeded or the cell does not recover.
 fn cost(step: Step, fault: Fault, times: u32) -> Cost {
-    let mut ring = at(step);
+    let mut ring = ring_at(step);
     let mut cost = Cost::default();
-    let mut lost = || Fate::LoseReply(20);
+    let mut lose_reply = || Fate::LoseReply(20);
     for _ in 0..times {
         inject(&mut ring, fault);
         let fate: &mut dyn FnMut() -> Fate = match fault {
-            Fault::AnswersLost => &mut lost,
-            _ => &mut prompt,
+            Fault::AnswersLost => &mut lose_reply,
+            _ => &mut no_delay,
         };
-        pass(&mut ring, LASTS, &mut cost, fate);
-        heal(&mut ring);
-        pass(&mut ring, HEALS, &mut cost, &mut prompt);
+        advance(&mut ring, FAULT_STEPS, &mut cost, fate);
+        end_faults(&mut ring);
+        advance(&mut ring, RECOVERY_STEPS, &mut cost, &mut no_delay);
         let parts: Vec<Part> = ring.parts().into_iter().flatten().collect();
         assert_eq!(parts, [Part::Full], "{step:?}, {fault:?}");
     }
@@ -200,9 +200,9 @@
     for (fault, name) in FAULTS {
         let _ = write!(table, "\n| {name} |");
         for (step, _) in STEPS {
-            let Cost { none, less } = cost(step, fault, times);
+            let Cost { unserved, reduced } = cost(step, fault, times);
             let tenths = |n: u64| format!("{}.{}", n / 10, n % 10);
-            let _ = write!(table, " {} / {} |", tenths(none), tenths(less));
+            let _ = write!(table, " {} / {} |", tenths(unserved), tenths(reduced));
         }
     }
     table
--- a/cornelstand/tests/agree/net.rs
+++ b/cornelstand/tests/agree/net.rs
@@ -1,4 +1,4 @@
-//! The actors of several instances in one process, reached by calls in place of sockets.
+//! Runs the actors of several instances in one process, connected by direct calls.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -14,7 +14,7 @@
 use tokio::sync::watch;
 use xtra::prelude::*;
 
-/// Where the actors of the instances can be reached.
+/// Actor addresses of the instances.
 #[derive(Clone, Default)]
 pub(crate) struct Net(Arc<Mutex<BTreeMap<SocketAddr, Peer>>>);
 
@@ -27,7 +27,11 @@
 
 impl Net {
     fn peer(&self, address: SocketAddr) -> Option<Peer> {
-        self.0.lock().expect("a lock").get(&address).cloned()
+        self.0
+            .lock()
+            .expect("an unpoisoned lock")
+            .get(&address)
+            .cloned()
     }
 }
 
@@ -100,7 +104,7 @@
         fleet: fleet.clone(),
         timeline: timeline.clone(),
     });
-    let (borrow, word) = (net.clone(), net.clone());
+    let (borrow, notify) = (net.clone(), net.clone());
     let steward = Steward::spawn(
         holder,
         LeaseTiming::default(),
@@ -111,7 +115,7 @@
                 Box::pin(async move { peer?.steward.send(LendCell(request)).await.ok()? })
             }),
             word: Arc::new(move |to: Holder, message: Yield| {
-                let peer = word.peer(to.address);
+                let peer = notify.peer(to.address);
                 Box::pin(async move {
                     if let Some(peer) = peer {
                         let _ = peer.steward.send(TakeOverCell(message)).await;
@@ -134,7 +138,7 @@
     };
     net.0
         .lock()
-        .expect("a lock")
+        .expect("an unpoisoned lock")
         .insert(address(index), peer.clone());
     Instance { peer, members }
 }
--- a/cornelstand/tests/agree/shells.rs
+++ b/cornelstand/tests/agree/shells.rs
@@ -1,4 +1,4 @@
-//! The actors of several instances in one process, over a stand-in of the store.
+//! Tests of the actors of several instances in one process, with a stand-in store.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -12,7 +12,7 @@
 use crate::net::{Instance, Net, start};
 use crate::publish::api;
 
-/// Time between rounds of the gossip.
+/// Interval of gossip rounds.
 const PERIOD: Duration = Duration::from_millis(100);
 
 fn first_note() -> Note {
@@ -24,26 +24,26 @@
     plan("start", &declared, &Config::default())
 }
 
-async fn until(mut holds: impl AsyncFnMut() -> bool) {
+async fn wait_until(mut holds: impl AsyncFnMut() -> bool) {
     while !holds().await {
         sleep(Duration::from_millis(20)).await;
     }
 }
 
-async fn held(instances: &[Instance]) -> BTreeMap<CellId, Vec<Part>> {
-    let mut held: BTreeMap<CellId, Vec<Part>> = BTreeMap::new();
+async fn owned_parts(instances: &[Instance]) -> BTreeMap<CellId, Vec<Part>> {
+    let mut owned: BTreeMap<CellId, Vec<Part>> = BTreeMap::new();
     for instance in instances {
         let cells = instance
             .peer
             .steward
             .send(ListCells)
             .await
-            .expect("an actor");
+            .expect("a running actor");
         for (cell, tenure) in cells {
-            held.entry(cell).or_default().push(tenure.part);
+            owned.entry(cell).or_default().push(tenure.part);
         }
     }
-    held
+    owned
 }
 
 #[tokio::test]
@@ -63,9 +63,9 @@
         let last = config.wait_for(|c| c.revision == Revision(1)).await;
         assert_eq!(**last.expect("a configuration"), known.config());
     }
-    until(async || {
-        let held = held(&instances).await;
-        held.len() == 4 && held.values().all(|parts| *parts == [Part::Full])
+    wait_until(async || {
+        let owned = owned_parts(&instances).await;
+        owned.len() == 4 && owned.values().all(|parts| *parts == [Part::Full])
     })
     .await;
     for instance in &instances {
@@ -120,7 +120,7 @@
         .fleet
         .send(claim.clone())
         .await
-        .expect("an actor");
+        .expect("a running actor");
     let mut members = first.members.clone();
     let heard = members
         .wait_for(|m| m.owner(&claim.cell).is_some_and(|c| c.delay == 5))
