--- a/cornelstand/src/keeper.rs
+++ b/cornelstand/src/keeper.rs
@@ -41,7 +41,7 @@
     pub(crate) lease_end: Moment,
     pub(crate) claim: Option<(Epoch, InstanceName)>,
     pub(crate) last_claim: Option<Moment>,
-    pub(crate) acting_epoch: Option<Epoch>,
+    pub(crate) own_epoch: Option<Epoch>,
     pub(crate) reported: Option<Tenure>,
     pub(crate) lent: Option<Loan>,
     pub(crate) borrowed: BTreeMap<Holder, Moment>,
@@ -97,7 +97,7 @@
             lease_end: Moment::default(),
             claim: None,
             last_claim: None,
-            acting_epoch: None,
+            own_epoch: None,
             reported: None,
             lent: None,
             borrowed: BTreeMap::new(),
@@ -188,7 +188,7 @@
             self.update_lease(now, borrow.version, borrow.lease.clone());
         }
         self.observe_epoch(now, borrow.epoch, &borrow.from.name);
-        if self.acting_epoch.is_some() || !self.may_lend(now, &borrow.from) {
+        if self.own_epoch.is_some() || !self.may_lend(now, &borrow.from) {
             self.report_tenure(now, out);
             return self.refusal();
         }
@@ -249,9 +249,9 @@
         for holder in &self.view.gone {
             self.gone.entry(holder.clone()).or_insert(now);
         }
-        if self.acting_epoch.is_some() && !self.view.ranked.is_empty() && !self.is_ranked() {
+        if self.own_epoch.is_some() && !self.view.ranked.is_empty() && !self.is_ranked() {
             self.start_drain();
-        } else if self.drain == Drain::Moved && self.is_ranked() && self.acting_epoch.is_none() {
+        } else if self.drain == Drain::Moved && self.is_ranked() && self.own_epoch.is_none() {
             self.drain = Drain::No;
         }
     }
@@ -266,9 +266,7 @@
         }
         let is_mine = *owner == self.me.name;
         self.claim = Some((epoch, owner.clone()));
-        let Some(mine) = self.acting_epoch else {
-            return;
-        };
+        let Some(mine) = self.own_epoch else { return };
         if is_mine || epoch <= mine {
             return;
         }
@@ -278,7 +276,7 @@
         if is_heir {
             self.next_call = now;
         } else {
-            self.acting_epoch = None;
+            self.own_epoch = None;
         }
     }
 
@@ -315,7 +313,7 @@
         if self.drain != Drain::Moving {
             return;
         }
-        let epoch = self.acting_epoch.take();
+        let epoch = self.own_epoch.take();
         self.drain = Drain::Moved;
         self.next_call = now;
         self.borrowed.clear();
@@ -392,8 +390,8 @@
         }
         if lease.owner != self.me || self.highest_epoch() != lease.epoch {
             self.next_call = self.next_call.max(now.after(self.timing.renew));
-        } else if self.acting_epoch.is_some() && self.acting_epoch != Some(lease.epoch) {
-            self.acting_epoch = Some(lease.epoch);
+        } else if self.own_epoch.is_some() && self.own_epoch != Some(lease.epoch) {
+            self.own_epoch = Some(lease.epoch);
         }
         self.object = Some((version, lease));
     }
@@ -442,13 +440,13 @@
         let Some((_, lease)) = &self.object else {
             return;
         };
-        if self.acting_epoch.is_some() || self.offered.is_some() || self.drain == Drain::Moved {
+        if self.own_epoch.is_some() || self.offered.is_some() || self.drain == Drain::Moved {
             return;
         }
         let highest = self.highest_epoch();
         if lease.owner == self.me {
             if highest <= lease.epoch {
-                self.acting_epoch = Some(lease.epoch);
+                self.own_epoch = Some(lease.epoch);
                 self.last_borrow = None;
             }
             return;
@@ -457,7 +455,7 @@
         let is_heir = lease.spare == self.me && highest <= epoch;
         let is_alone = self.is_lost(&lease.owner) || self.is_yielded(now, lease);
         if is_heir && is_alone && !self.is_lent(now) && self.drain == Drain::No {
-            self.acting_epoch = Some(epoch);
+            self.own_epoch = Some(epoch);
             self.last_borrow = None;
             self.claim = Some((epoch, self.me.name.clone()));
         }
@@ -478,7 +476,7 @@
     /// Emits the tenure if it has changed.
     pub(crate) fn report_tenure(&mut self, now: Moment, out: &mut Vec<LeaseEffect>) {
         let tenure = self
-            .acting_epoch
+            .own_epoch
             .and_then(|epoch| self.usable_halves(now, epoch));
         match (&self.reported, &tenure) {
             (None, Some(t)) => out.push(LeaseEffect::Gained(*t)),
@@ -532,7 +530,7 @@
         if self.drain != Drain::Requested {
             return;
         }
-        let Some((_, lease)) = self.object.as_ref().filter(|_| self.acting_epoch.is_some()) else {
+        let Some((_, lease)) = self.object.as_ref().filter(|_| self.own_epoch.is_some()) else {
             self.drain = Drain::Moved;
             return;
         };
@@ -551,9 +549,7 @@
         let Some((version, lease)) = &self.object else {
             return;
         };
-        let Some(epoch) = self.acting_epoch else {
-            return;
-        };
+        let Some(epoch) = self.own_epoch else { return };
         let is_due = self
             .last_borrow
             .is_none_or(|a| now >= a.after(self.timing.borrow));
--- a/cornelstand/src/lease.rs
+++ b/cornelstand/src/lease.rs
@@ -109,7 +109,7 @@
     pub loan: Duration,
     /// Interval of loan requests.
     pub borrow: Duration,
-    /// Clock tolerance, added to waits on a peer.
+    /// Added to waits on another instance's clock.
     pub margin: Duration,
 }
 
--- a/cornelstand/src/lease_write.rs
+++ b/cornelstand/src/lease_write.rs
@@ -65,7 +65,7 @@
                 .as_ref()
                 .map(|to| self.transferred_lease(now, lease, to));
         }
-        if is_owner && (self.acting_epoch.is_some() || self.may_resume(now)) {
+        if is_owner && (self.own_epoch.is_some() || self.may_resume(now)) {
             return Some(self.renewed_lease(now, lease));
         }
         if !is_owner && self.may_take(now, lease) {
@@ -114,7 +114,7 @@
             .is_some_and(|since| now >= since.after(wait));
         let is_over =
             is_silent || self.gone.contains_key(&lease.owner) || self.is_yielded(now, lease);
-        if self.acting_epoch.is_some() {
+        if self.own_epoch.is_some() {
             return is_over;
         }
         let is_heir = lease.spare == self.me;
@@ -202,7 +202,7 @@
             return self.is_candidate(now, None) && self.drain == Drain::No;
         };
         if lease.is_holder(&self.me) || lease.owner == self.me {
-            return self.acting_epoch != Some(lease.epoch) && !self.is_lent(now);
+            return self.own_epoch != Some(lease.epoch) && !self.is_lent(now);
         }
         let is_leaving = !self.view.ranked.contains(&lease.owner);
         let is_open = is_leaving || self.is_lost(&lease.owner) || self.is_unclaimed(now);
--- a/cornelstand/src/steward.rs
+++ b/cornelstand/src/steward.rs
@@ -35,7 +35,7 @@
 /// Ticks between updates of a cell in which this instance has no part.
 const IDLE_TICKS: u32 = 8;
 
-/// Number of candidates that update a cell at every tick.
+/// First candidates of a cell, which update it at every tick.
 const CANDIDATES: usize = 3;
 
 /// Interval at which ownership of a cell is announced to the peers.
