--- a/cornelstand/src/admit.rs
+++ b/cornelstand/src/admit.rs
@@ -1,6 +1,6 @@
-//! Admission: what is checked of a request before an endpoint is asked for.
+//! Admission: checks on a request before it is offered to a dispatcher.
 //!
-//! Nothing was sent at this point, so every refusal here is a true "not run".
+//! Nothing has been sent to an endpoint yet, so every refusal here is a "not run".
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -20,19 +20,19 @@
 use crate::path::split_path;
 use crate::problem::{Problem, ProblemKind};
 
-/// Wait that a refusal suggests when the instance stops or has no room.
-const RETRY: Duration = Duration::from_secs(1);
-/// Bytes of a body that its prompt's prefix is taken from.
+/// `Retry-After` of refusals while the instance is stopping or has no room for a body.
+const RETRY_AFTER: Duration = Duration::from_secs(1);
+/// Leading bytes of a body that are hashed as its prompt prefix.
 const PREFIX_BYTES: usize = 1024;
 
-/// Why a request is refused before an endpoint is asked for.
-pub(crate) struct Flaw {
+/// Refusal of a request during admission.
+pub(crate) struct Rejection {
     kind: ProblemKind,
     detail: String,
     retry: Option<Duration>,
 }
 
-impl Flaw {
+impl Rejection {
     fn new(kind: ProblemKind, detail: &impl ToString) -> Self {
         Self {
             kind,
@@ -42,12 +42,12 @@
     }
 
     fn unavailable(detail: &str) -> Self {
-        let flaw = Self::new(ProblemKind::Unavailable, &detail);
-        let retry = Some(RETRY);
-        Self { retry, ..flaw }
+        let rejection = Self::new(ProblemKind::Unavailable, &detail);
+        let retry = Some(RETRY_AFTER);
+        Self { retry, ..rejection }
     }
 
-    /// The refusal, with the proof that nothing was sent.
+    /// Builds the error response, with the proof that nothing was sent.
     pub(crate) fn problem(self, proof: NotRun) -> Problem {
         let mut problem = Problem::new(self.kind, Verdict::NotRun(proof), self.detail);
         problem.retry = self.retry;
@@ -60,25 +60,26 @@
     core: &Arc<Core>,
     id: RequestId,
     request: Request<Incoming>,
-) -> Result<Call, Flaw> {
+) -> Result<Call, Rejection> {
     if core.is_draining() {
-        return Err(Flaw::unavailable("the instance is about to stop"));
+        return Err(Rejection::unavailable("the instance is about to stop"));
     }
     let (parts, incoming) = request.into_parts();
     let view = core.view();
-    let bad_header = |e| Flaw::new(ProblemKind::BadHeader, &e);
+    let bad_header = |e| Rejection::new(ProblemKind::BadHeader, &e);
     let account = authenticate(&view, &parts.headers)?;
     let wishes = Wishes::parse(&parts.headers).map_err(bad_header)?;
-    let path = split_path(parts.uri.path()).map_err(|e| Flaw::new(ProblemKind::BadPath, &e))?;
+    let path =
+        split_path(parts.uri.path()).map_err(|e| Rejection::new(ProblemKind::BadPath, &e))?;
     let (name, service) = view
         .config
         .services
         .get_key_value(path.service)
-        .ok_or_else(|| Flaw::new(ProblemKind::UnknownService, &"the path names no service"))?;
+        .ok_or_else(|| Rejection::new(ProblemKind::UnknownService, &"the path names no service"))?;
     let (class, repeat) = view.config.rule(service, &path.plain);
     if needs_key(&parts.method, repeat) && wishes.key.is_none() {
         let detail = "the call may not be repeated and needs an Idempotency-Key";
-        return Err(Flaw::new(ProblemKind::KeyRequired, &detail));
+        return Err(Rejection::new(ProblemKind::KeyRequired, &detail));
     }
     let target = match parts.uri.query() {
         Some(query) => format!("{}?{query}", path.raw),
@@ -88,10 +89,10 @@
     let room = core
         .room(ahead_bytes(&parts.headers, limits), limits.ahead)
         .await
-        .ok_or_else(|| Flaw::unavailable("the instance has no room for the body"))?;
+        .ok_or_else(|| Rejection::unavailable("the instance has no room for the body"))?;
     let body = CallBody::read(&parts.headers, incoming, limits)
         .await
-        .map_err(|e| Flaw::new(body_problem(e), &e))?;
+        .map_err(|e| Rejection::new(body_problem(e), &e))?;
     let arrived = core.clock.now();
     let wait = wishes.deadline.unwrap_or(core.limits.deadline());
     let fingerprint = fingerprint(&account, &parts.method, name, &target, body.ahead());
@@ -122,17 +123,17 @@
     })
 }
 
-fn authenticate(view: &View, headers: &HeaderMap) -> Result<AccountName, Flaw> {
-    let key = bearer_key(headers).map_err(|e| Flaw::new(ProblemKind::BadKey, &e))?;
-    let key = key.ok_or_else(|| Flaw::new(ProblemKind::BadKey, &"no account key is given"))?;
+fn authenticate(view: &View, headers: &HeaderMap) -> Result<AccountName, Rejection> {
+    let key = bearer_key(headers).map_err(|e| Rejection::new(ProblemKind::BadKey, &e))?;
+    let key = key.ok_or_else(|| Rejection::new(ProblemKind::BadKey, &"no account key is given"))?;
     view.keys
         .account(key)
         .cloned()
-        .ok_or_else(|| Flaw::new(ProblemKind::BadKey, &"the key belongs to no account"))
+        .ok_or_else(|| Rejection::new(ProblemKind::BadKey, &"the key belongs to no account"))
 }
 
-/// Tells whether a call needs an idempotency key. Safe methods ask for nothing that could run
-/// twice; they are still sent at most once where the rule says so.
+/// Whether a call needs an idempotency key. Safe methods have no side effects and need none; they
+/// are still sent at most once where the route is not idempotent.
 fn needs_key(method: &Method, repeat: Repeat) -> bool {
     !repeat.is_idempotent() && !method.is_safe()
 }
@@ -144,7 +145,7 @@
     }
 }
 
-/// Most bytes of a body that are read ahead, as far as its headers tell.
+/// Upper bound, from the headers, on the bytes of a body that are read ahead.
 fn ahead_bytes(headers: &HeaderMap, limits: BodyLimits) -> usize {
     let stated = stated_length(headers).and_then(|length| usize::try_from(length).ok());
     match stated {
@@ -154,13 +155,13 @@
     }
 }
 
-/// Hash of a prompt's prefix.
+/// Hash of the prompt prefix of a model call.
 fn prefix(kind: Kind, body: &[u8]) -> Option<u64> {
     let prefix = &body[..body.len().min(PREFIX_BYTES)];
     (kind == Kind::Model).then(|| xxh3_64(prefix))
 }
 
-/// Fingerprint of a request. The body counts as far as it is read ahead.
+/// Fingerprint of a request. It covers only the part of the body that was read ahead.
 fn fingerprint(
     account: &AccountName,
     method: &Method,
