--- a/cornelstand/src/cell_status.rs
+++ b/cornelstand/src/cell_status.rs
@@ -1,4 +1,4 @@
-//! What a cell shows to operators.
+//! Status of a cell for operators.
 
 use serde::{Deserialize, Serialize};
 
@@ -14,15 +14,15 @@
     pub cell: CellId,
     /// Epoch of the owner.
     pub epoch: Epoch,
-    /// Part of each limit in use, `None` once the lease has lapsed.
+    /// Part of each limit that the owner may use, `None` once the lease has expired.
     pub part: Option<Part>,
-    /// Entries that have still to report after a takeover.
+    /// Entries that have not reported since the takeover.
     pub unreported: Vec<InstanceName>,
     /// Counts since the owner started.
     pub counts: Counts,
-    /// Offers that wait.
+    /// Queued offers.
     pub waiting: usize,
-    /// Attempts granted and not ended.
+    /// Granted attempts that have not ended.
     pub running: usize,
     /// Accounts seen by this owner.
     pub accounts: Vec<AccountStatus>,
@@ -31,8 +31,8 @@
 }
 
 impl CellStatus {
-    /// Expected wait of a new request, in milliseconds: zero while a slot is free, else the time
-    /// in which the offers that wait get their turn, if each slot ends one a second.
+    /// Expected wait of a new request in milliseconds, assuming that each slot completes one
+    /// request a second. Zero while a slot is free, as no offer is queued then.
     #[must_use]
     pub fn delay(&self) -> u32 {
         let slots: u32 = self.endpoints.iter().map(|e| e.limit).sum();
@@ -41,19 +41,19 @@
     }
 }
 
-/// Counts of one owner: `offered` is the sum of `granted`, `refused`, `cancelled` and the offers
-/// that wait; `granted` and `adopted` together are the sum of `ended` and the attempts that run.
+/// Counters of one owner. `offered` is the sum of `granted`, `refused`, `cancelled` and the queued
+/// offers; `granted` plus `adopted` is the sum of `ended` and the running attempts.
 #[derive(Clone, Copy, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Counts {
-    /// Offers taken in, without repeated ones.
+    /// Offers received, not counting repeats.
     pub offered: u64,
     /// Offers granted.
     pub granted: u64,
     /// Offers refused.
     pub refused: u64,
-    /// Offers taken back.
+    /// Offers withdrawn.
     pub cancelled: u64,
-    /// Attempts of earlier owners taken in.
+    /// Running attempts adopted from earlier owners.
     pub adopted: u64,
     /// Attempts ended.
     pub ended: u64,
@@ -66,15 +66,15 @@
     pub account: AccountName,
     /// Its share.
     pub share: u32,
-    /// Its counter: charged cost over share, in units of 1/65,536.
+    /// Fairness counter: charged cost over share, in units of 1/65,536.
     pub service: u64,
     /// Average cost of its calls, in the unit of the service's kind.
     pub average: u64,
-    /// Interactive offers that wait.
+    /// Queued interactive offers.
     pub interactive: usize,
-    /// Batch offers that wait.
+    /// Queued batch offers.
     pub batch: usize,
-    /// Attempts granted and not ended.
+    /// Granted attempts that have not ended.
     pub running: u32,
 }
 
@@ -99,10 +99,10 @@
     pub endpoint: EndpointName,
     /// Its state.
     pub state: State,
-    /// Requests at once that the owner permits.
+    /// Concurrent requests that the owner permits.
     pub limit: u32,
-    /// Attempts granted and not ended.
+    /// Granted attempts that have not ended.
     pub running: u32,
-    /// Boot identity that an answer has shown.
+    /// Boot identity seen in an answer.
     pub boot: Option<BootId>,
 }
