--- a/cornelstand/src/dispatch.rs
+++ b/cornelstand/src/dispatch.rs
@@ -1,8 +1,8 @@
 //! Messages between an entry, which holds a caller's request, and the dispatcher of a cell.
 //!
 //! An entry offers a request and waits for the reply. A granted request runs at the named
-//! endpoint, and the entry reports progress and, once, the outcome with the real cost. All
-//! messages name the epoch of the cell's ownership; a lower one is refused as stale.
+//! endpoint, and the entry reports progress and, once, the outcome with the actual cost. Grants and
+//! reports carry the ownership epoch, which tells a new owner the attempts of earlier ones.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -21,21 +21,21 @@
 pub struct Offer {
     /// The attempt.
     pub attempt: AttemptId,
-    /// The cell that is asked.
+    /// The cell that gets the offer.
     pub cell: CellId,
-    /// The client account that pays.
+    /// The client account that is charged.
     pub account: AccountName,
     /// The instance that holds the caller's connection.
     pub entry: InstanceName,
-    /// Order inside the account.
+    /// Scheduling class inside the account.
     pub class: Class,
     /// Expected cost as the caller states it, in the unit of the service's kind.
     pub hint: Option<u64>,
-    /// Time that the request has waited already, at this or other cells.
+    /// Time that the request has already waited, at this or other cells.
     pub waited: Duration,
     /// Time left until the caller's deadline.
     pub left: Duration,
-    /// Endpoints that earlier attempts of this request failed at.
+    /// Endpoints where earlier attempts of this request failed.
     pub avoid: Vec<EndpointName>,
     /// Hash of the prompt's prefix, if the service has a prefix cache.
     pub prefix: Option<u64>,
@@ -50,13 +50,13 @@
     pub cell: CellId,
     /// Epoch of the cell's owner.
     pub epoch: Epoch,
-    /// Where to run.
+    /// Endpoint to run at.
     pub endpoint: EndpointName,
-    /// Cost charged so far, in the unit of the service's kind. Real cost above it is reported.
+    /// Cost charged so far, in the unit of the service's kind. Actual cost above it is reported.
     pub charged: u64,
 }
 
-/// Why a dispatcher does not grant an offer. None of these runs anything.
+/// Why a dispatcher refuses an offer. In each case the request has not run.
 #[derive(Clone, Debug, Deserialize, Display, Eq, IsVariant, PartialEq, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Refusal {
@@ -81,12 +81,12 @@
     /// The account is not in the dispatcher's configuration.
     #[display("unknown account")]
     UnknownAccount,
-    /// The entry took the offer back.
+    /// The entry withdrew the offer.
     #[display("cancelled by the caller")]
     Cancelled,
 }
 
-/// What an entry tells about a granted attempt.
+/// Progress or outcome of a granted attempt.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Report {
     /// The attempt.
@@ -97,7 +97,7 @@
     pub epoch: Epoch,
     /// Where it runs or ran.
     pub endpoint: EndpointName,
-    /// The client account that pays.
+    /// The client account that is charged.
     pub account: AccountName,
     /// Cost so far, in the unit of the service's kind.
     pub cost: u64,
@@ -105,15 +105,15 @@
     pub boot: Option<BootId>,
     /// Time from sending to the first byte of the answer, if one came.
     pub first: Option<Duration>,
-    /// How far the attempt is.
+    /// Whether the attempt is running or has ended.
     pub phase: Phase,
 }
 
-/// How far a granted attempt is.
+/// Whether a granted attempt is running or has ended.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, IsVariant, PartialEq, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Phase {
-    /// It still runs; the report corrects the charge.
+    /// It is still running; the report corrects the charge.
     Running,
     /// It ended.
     Ended(Ending),
@@ -123,15 +123,15 @@
 #[derive(Clone, Copy, Debug, Deserialize, Display, Eq, IsVariant, PartialEq, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Ending {
-    /// The whole answer came.
+    /// The complete answer was received.
     Answered,
     /// No byte was written to the endpoint.
     NotSent,
-    /// The caller went away and the endpoint was told to cancel.
+    /// The caller disconnected, or the entry stopped the attempt.
     Cancelled,
     /// The endpoint answered that it is overloaded.
     Overloaded,
-    /// The connection was reset or the stream was cut.
+    /// The connection was reset or the stream ended early.
     Broken,
     /// First-byte or idle deadline passed.
     Silent,
@@ -139,46 +139,46 @@
     Failed,
 }
 
-/// What an entry still runs of a cell, for a new owner.
+/// An attempt that an entry is running, listed for a new owner of the cell.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Running {
     /// The attempt.
     pub attempt: AttemptId,
     /// Where it runs.
     pub endpoint: EndpointName,
-    /// The client account that pays.
+    /// The client account that is charged.
     pub account: AccountName,
-    /// Order inside the account.
+    /// Scheduling class inside the account.
     pub class: Class,
     /// Cost so far, in the unit of the service's kind.
     pub cost: u64,
 }
 
-/// An entry's account of all it runs of one cell.
+/// List of all attempts of one cell that an entry is running.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Census {
     /// The entry.
     pub entry: InstanceName,
     /// The cell.
     pub cell: CellId,
-    /// Everything granted and not ended.
+    /// Granted attempts that have not ended.
     pub running: Vec<Running>,
 }
 
-/// What is left of a cell for its next owner after a planned stop.
+/// State of a cell that its owner passes to the next one on a planned stop.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Handover {
     /// The cell.
     pub cell: CellId,
     /// Epoch of the owner that hands over.
     pub epoch: Epoch,
-    /// Service counters of the accounts, in charged cost over share.
+    /// Service counters of the accounts, as charged cost over share.
     pub counters: Vec<Counter>,
-    /// Everything granted and not ended, with its entry.
+    /// Granted attempts that have not ended, by entry.
     pub running: Vec<Census>,
     /// What is known of each endpoint.
     pub endpoints: Vec<EndpointState>,
-    /// Entries that have still to report what they run for an earlier owner.
+    /// Entries that have not yet reported what they run for an earlier owner.
     pub unreported: Vec<InstanceName>,
 }
 
@@ -193,7 +193,7 @@
     pub average: u64,
 }
 
-/// What a dispatcher has learned of one endpoint.
+/// State of one endpoint as its dispatcher knows it.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct EndpointState {
     /// The endpoint.
@@ -202,7 +202,7 @@
     pub boot: Option<BootId>,
     /// Answers since that boot.
     pub answers: u32,
-    /// Requests that may run there though no entry follows them.
+    /// Requests that may run there although no entry tracks them.
     pub unseen: u32,
 }
 
@@ -213,15 +213,15 @@
 type ReportCall = dyn Fn(Report) + Send + Sync;
 type PickCall = dyn Fn(&ServiceName) -> Option<CellId> + Send + Sync;
 
-/// The entry's way to the dispatchers of all cells, wherever they are.
+/// Interface of an entry to the dispatchers of all cells, local or remote.
 ///
-/// Offers follow a cell through changes of owner until they are granted, refused or cancelled by
+/// An offer is retried across changes of owner until it is granted or refused, or cancelled by
 /// dropping the future.
 #[derive(Clone)]
 pub struct Dispatch {
     /// Offers a request and waits for the reply.
     pub offer: Arc<OfferCall>,
-    /// Tells the dispatcher how a granted attempt goes. Outcomes are repeated until received.
+    /// Sends progress or outcome of a granted attempt. Outcomes are repeated until received.
     pub report: Arc<ReportCall>,
     /// Picks the cell of a service for a new request; `None` if the service has no cell.
     pub pick: Arc<PickCall>,
