--- a/cornelstand/src/active.rs
+++ b/cornelstand/src/active.rs
@@ -1,4 +1,4 @@
-//! Attempts of one cell that are granted and have not ended.
+//! Granted attempts of one cell that have not ended.
 
 use std::collections::{BTreeMap, HashMap};
 
@@ -16,7 +16,7 @@
     pub(crate) account: AccountId,
     pub(crate) class: Class,
     pub(crate) endpoint: EndpointName,
-    /// Who runs it, unless only a report of an earlier owner's attempt told of it.
+    /// `None` if it is known only from a report on an earlier owner's grant.
     pub(crate) entry: Option<InstanceName>,
     pub(crate) charged: u64,
     /// Generation of the endpoint at the grant.
@@ -24,11 +24,11 @@
     pub(crate) granted: Moment,
 }
 
-/// The attempts that run, and those that ended lately.
+/// Running attempts, and a bounded set of recently ended ones.
 #[derive(Debug, Default)]
 pub(crate) struct ActiveSet {
     all: HashMap<AttemptId, Active>,
-    tombs: Tombs,
+    ended: Tombs,
 }
 
 impl ActiveSet {
@@ -48,23 +48,23 @@
         self.all.contains_key(&attempt)
     }
 
-    /// Tells whether the attempt ended or was withdrawn lately.
+    /// Whether the attempt ended or was withdrawn recently.
     pub(crate) fn has_ended(&self, attempt: AttemptId) -> bool {
-        self.tombs.contains(attempt)
+        self.ended.contains(attempt)
     }
 
     pub(crate) fn insert(&mut self, attempt: AttemptId, active: Active) {
         self.all.insert(attempt, active);
     }
 
-    /// Marks an attempt as ended and takes it out, if it runs.
+    /// Marks an attempt as ended and removes it if it is running.
     pub(crate) fn close(&mut self, attempt: AttemptId) -> Option<Active> {
-        self.tombs.insert(attempt);
+        self.ended.insert(attempt);
         self.all.remove(&attempt)
     }
 
-    /// Takes out an attempt that never started, so that it may be granted again.
-    pub(crate) fn take_back(&mut self, attempt: AttemptId) -> Option<Active> {
+    /// Removes an attempt that never started, so that it may be granted again.
+    pub(crate) fn remove(&mut self, attempt: AttemptId) -> Option<Active> {
         self.all.remove(&attempt)
     }
 
@@ -75,21 +75,21 @@
         own.map(|(attempt, _)| *attempt).collect()
     }
 
-    /// Counts the attempts at `endpoint` that were running [`LOAD_LAG`] before `now`.
-    pub(crate) fn settled(&self, endpoint: &EndpointName, now: Moment) -> u32 {
-        let at = self.all.values().filter(|a| a.endpoint == *endpoint);
-        let settled = at.filter(|a| a.granted.after(LOAD_LAG) <= now);
-        u32::try_from(settled.count()).unwrap_or(u32::MAX)
+    /// Counts the attempts at `endpoint` that any load report received at `now` includes.
+    pub(crate) fn counted_in_load(&self, endpoint: &EndpointName, now: Moment) -> u32 {
+        let attempts = self.all.values().filter(|a| a.endpoint == *endpoint);
+        let counted = attempts.filter(|a| a.granted.after(LOAD_LAG) <= now);
+        u32::try_from(counted.count()).unwrap_or(u32::MAX)
     }
 
-    /// Counts the attempts at `endpoint` of which no entry is known.
+    /// Counts the attempts at `endpoint` whose entry is unknown.
     pub(crate) fn without_entry(&self, endpoint: &EndpointName) -> u32 {
-        let at = self.all.values().filter(|a| a.endpoint == *endpoint);
-        let count = at.filter(|a| a.entry.is_none()).count();
+        let attempts = self.all.values().filter(|a| a.endpoint == *endpoint);
+        let count = attempts.filter(|a| a.entry.is_none()).count();
         u32::try_from(count).unwrap_or(u32::MAX)
     }
 
-    /// The attempts by the entry that runs them.
+    /// Running attempts grouped by entry.
     pub(crate) fn censuses(&self, cell: &CellId, queue: &FairQueue) -> Vec<Census> {
         let mut entries: BTreeMap<InstanceName, Vec<Running>> = BTreeMap::new();
         for (attempt, active) in &self.all {
--- a/cornelstand/src/cell.rs
+++ b/cornelstand/src/cell.rs
@@ -1,8 +1,8 @@
-//! The decisions of one cell: which request runs next, and at which endpoint.
+//! Scheduling of one cell: which request runs next, and at which endpoint.
 //!
 //! A [`Cell`] takes `(now, input)` and returns outputs; it has no clock and does no I/O. It grants
 //! while it holds the lease and some endpoint has room, so that no slot idles while work waits.
-//! A repeated input changes nothing: an attempt is queued, charged and freed once.
+//! Inputs are idempotent: an attempt is queued, charged and freed once.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
@@ -14,26 +14,26 @@
 use crate::cell_status::{AccountStatus, CellStatus, Counts, EndpointStatus};
 use crate::config::Config;
 use crate::dispatch::{Ending, Grant, Offer, Phase, Refusal, Report};
-use crate::endpoint::{EndpointModel, Load, Sight};
+use crate::endpoint::{EndpointModel, Load, Observation};
 use crate::exchange::{Exchange, Totals};
 use crate::fair::{FairQueue, Waiting, arrival};
 use crate::lease::{Part, Tenure};
 use crate::moment::Moment;
 use crate::name::{AttemptId, CellId, EndpointName, Epoch, InstanceName};
 
-/// Cost of a call of a service that is not configured.
+/// Estimated cost of a call to a service that is not configured.
 const DEFAULT_ESTIMATE: u64 = 100;
 
-/// Time after a handover in which waiting requests come back to the next owner.
-const COMEBACK: Duration = Duration::from_secs(5);
+/// Time after a handover within which entries offer waiting requests again.
+const REOFFER_WINDOW: Duration = Duration::from_secs(5);
 
-/// Shortest time after which a refused caller is asked to come back.
-const RETRY_FIRST: Duration = Duration::from_secs(1);
+/// Minimum retry delay suggested to a refused caller.
+const RETRY_MIN: Duration = Duration::from_secs(1);
 
-/// Longest time after which a refused caller is asked to come back.
-const RETRY_LAST: Duration = Duration::from_mins(1);
+/// Maximum retry delay suggested to a refused caller.
+const RETRY_MAX: Duration = Duration::from_mins(1);
 
-/// Decisions of one cell.
+/// Scheduling state machine of one cell.
 #[derive(Debug)]
 pub struct Cell {
     pub(crate) id: CellId,
@@ -44,9 +44,9 @@
     pub(crate) endpoints: BTreeMap<EndpointName, EndpointModel>,
     pub(crate) active: ActiveSet,
     pub(crate) unreported: BTreeSet<InstanceName>,
-    /// Latest epoch of which every attempt that may run is known.
+    /// Latest epoch whose running attempts are all known.
     pub(crate) complete: Epoch,
-    /// Whether an entry went without reporting what it ran.
+    /// Whether an entry was lost before it reported its running attempts.
     pub(crate) lost: bool,
     pub(crate) recovered: Moment,
     /// Time of the latest input.
@@ -56,7 +56,7 @@
 }
 
 impl Cell {
-    /// A cell that grants nothing until it gets [`CellInput::Lease`].
+    /// Creates a cell that grants nothing until it gets [`CellInput::Lease`].
     #[must_use]
     pub fn new(id: CellId, epoch: Epoch, config: Arc<Config>, now: Moment) -> Self {
         let service = config.services.get(&id.service);
@@ -82,20 +82,20 @@
             counts: Counts::default(),
             exchange: Exchange::default(),
         };
-        cell.place_endpoints();
+        cell.sync_endpoints();
         cell
     }
 
-    /// Takes in one input and appends its effects to `out`.
+    /// Processes one input and appends its effects to `out`.
     pub fn handle(&mut self, now: Moment, input: CellInput, out: &mut Vec<CellOutput>) {
         self.latest = now;
-        if now >= self.recovered.after(COMEBACK) {
+        if now >= self.recovered.after(REOFFER_WINDOW) {
             self.queue.forget_restored();
         }
         match input {
             CellInput::Offer(offer) => self.offer(now, offer, out),
             CellInput::Withdraw(attempt) => self.withdraw(attempt, out),
-            CellInput::Undelivered(attempt) => self.take_back(attempt),
+            CellInput::Undelivered(attempt) => self.drop_undelivered(attempt),
             CellInput::Report(report) => self.report(now, &report),
             CellInput::Load { endpoint, load } => self.load(now, &endpoint, load),
             CellInput::Leaving(names) => self.leaving(&names),
@@ -107,31 +107,31 @@
             CellInput::Census(census) => self.census(census),
             CellInput::Recover { entries } => self.recover(now, entries),
             CellInput::EntryGone(entry) => self.entry_gone(now, &entry, out),
-            CellInput::Totals(totals) => self.hear(now, totals),
+            CellInput::Totals(totals) => self.merge_totals(now, totals),
             CellInput::Tick => {}
         }
         self.expire(now, out);
         self.grant(now, out);
-        self.tell(now, out);
-        self.show(out);
+        self.publish_totals(now, out);
+        self.report_states(out);
     }
 
-    /// When [`CellInput::Tick`] is due, if ever.
+    /// When the next [`CellInput::Tick`] is due, if any.
     #[must_use]
     pub fn timer(&self) -> Option<Moment> {
         let deadline = self.queue.deadline()?;
-        let probes = self.endpoints.values().filter_map(EndpointModel::probe);
-        let doubts = self
+        let probes = self.endpoints.values().filter_map(EndpointModel::probe_due);
+        let untracked = self
             .endpoints
             .values()
-            .filter_map(EndpointModel::doubt_ends);
-        let told = self.has_peers().then(|| self.exchange.due());
-        let due = probes.chain(doubts).chain(told);
+            .filter_map(EndpointModel::untracked_until);
+        let totals = self.has_siblings().then(|| self.exchange.due());
+        let due = probes.chain(untracked).chain(totals);
         let due = due.chain([deadline, self.tenure.until]);
         due.filter(|at| *at > self.latest).min()
     }
 
-    /// The cell.
+    /// Identity of the cell.
     #[must_use]
     pub fn id(&self) -> &CellId {
         &self.id
@@ -179,7 +179,7 @@
             return;
         }
         if let Some(active) = self.active.get(attempt) {
-            out.push(CellOutput::Grant(self.granted(attempt, active)));
+            out.push(CellOutput::Grant(self.grant_of(attempt, active)));
             return;
         }
         self.counts.offered += 1;
@@ -187,8 +187,8 @@
             Some(Refusal::NotOwner(None))
         } else if self.active.has_ended(attempt) {
             Some(Refusal::Cancelled)
-        } else if !self.endpoints.values().any(EndpointModel::is_in) {
-            let retry = RETRY_FIRST;
+        } else if !self.endpoints.values().any(EndpointModel::accepts_work) {
+            let retry = RETRY_MIN;
             Some(Refusal::NoEndpoint { retry })
         } else {
             None
@@ -199,7 +199,7 @@
         }
     }
 
-    /// Queues the offer, or tells why not.
+    /// Queues the offer, or returns the reason to refuse it.
     fn enqueue(&mut self, now: Moment, offer: Offer) -> Option<Refusal> {
         let Some(account) = self.config.accounts.get(&offer.account) else {
             return Some(Refusal::UnknownAccount);
@@ -207,7 +207,7 @@
         let room = account.queue as usize;
         let id = self.queue.account(&offer.account, account.share);
         if self.queue.waiting_of(id) >= room {
-            let retry = self.queue.drain(id).clamp(RETRY_FIRST, RETRY_LAST);
+            let retry = self.queue.drain_time(id).clamp(RETRY_MIN, RETRY_MAX);
             return Some(Refusal::QueueFull { retry });
         }
         let waiting = Waiting {
@@ -246,16 +246,16 @@
         self.free_unused(attempt, closed);
     }
 
-    /// Forgets an attempt that nobody waits for at the moment.
-    fn take_back(&mut self, attempt: AttemptId) {
+    /// Drops an attempt whose reply nobody awaits. It may be offered again.
+    fn drop_undelivered(&mut self, attempt: AttemptId) {
         if self.queue.remove(attempt).is_some() {
             self.counts.cancelled += 1;
         }
-        let active = self.active.take_back(attempt);
+        let active = self.active.remove(attempt);
         self.free_unused(attempt, active);
     }
 
-    /// Frees the slot of a granted attempt that no entry runs, at no charge.
+    /// Frees the slot of a granted attempt that no entry runs, and refunds its charge.
     fn free_unused(&mut self, attempt: AttemptId, active: Option<Active>) {
         let Some(active) = active else { return };
         self.queue.finish(active.account, active.charged, 0);
@@ -284,9 +284,9 @@
                 .correct(active.account, active.charged, report.cost);
             active.charged = report.cost;
         }
-        let sight = sight(active, report);
+        let observation = observation(active, report);
         if let Some(model) = self.endpoints.get_mut(&active.endpoint) {
-            model.progress(now, sight);
+            model.progress(now, observation);
         }
     }
 
@@ -297,18 +297,18 @@
         let cost = if ending.is_not_sent() { 0 } else { report.cost };
         self.queue.finish(active.account, active.charged, cost);
         if ending.is_answered() {
-            self.queue.learn(active.account, cost);
+            self.queue.update_average(active.account, cost);
         }
         if let Some(model) = self.endpoints.get_mut(&active.endpoint) {
-            model.ended(now, sight(&active, report), ending);
+            model.ended(now, observation(&active, report), ending);
         }
         self.counts.ended += 1;
     }
 
     fn load(&mut self, now: Moment, endpoint: &EndpointName, load: Load) {
-        let settled = self.active.settled(endpoint, now);
+        let counted = self.active.counted_in_load(endpoint, now);
         if let Some(model) = self.endpoints.get_mut(endpoint) {
-            model.load(now, load, settled);
+            model.load(now, load, counted);
         }
     }
 
@@ -323,7 +323,7 @@
             return;
         }
         self.config = config;
-        self.place_endpoints();
+        self.sync_endpoints();
         for id in self.queue.ids() {
             let share = self.share(self.queue.name(id).as_str());
             self.queue.set_share(id, share);
@@ -338,9 +338,9 @@
         }
     }
 
-    /// Brings the endpoints in line with the configuration. Those without a place in it stay, out
-    /// of use, until nothing runs there.
-    fn place_endpoints(&mut self) {
+    /// Applies the configuration to the endpoints. Removed ones get no new work, and are dropped
+    /// once nothing runs there.
+    fn sync_endpoints(&mut self) {
         for model in self.endpoints.values_mut() {
             model.set_out();
         }
@@ -367,10 +367,10 @@
         }
         let refusal = if self.tenure.part_at(now).is_none() {
             Refusal::NotOwner(None)
-        } else if self.endpoints.values().any(EndpointModel::is_in) {
+        } else if self.endpoints.values().any(EndpointModel::accepts_work) {
             return;
         } else {
-            let retry = RETRY_FIRST;
+            let retry = RETRY_MIN;
             Refusal::NoEndpoint { retry }
         };
         for attempt in self.queue.attempts().collect::<Vec<_>>() {
@@ -397,16 +397,16 @@
         }
     }
 
-    /// The endpoint with the largest free part of its limit; one to avoid only if no other is
-    /// free.
+    /// Selects the endpoint with the largest free part of its capacity. One of `avoid` is used
+    /// only if no other is free.
     fn pick(&self, now: Moment, part: Part, attempt: AttemptId) -> Option<EndpointName> {
         let avoid = self.queue.get(attempt).map_or(&[][..], |w| &w.avoid);
         let free = self.endpoints.iter().filter_map(|(name, model)| {
             let room = model.room(now, |limit| part.of(limit));
-            let score = u64::from(room) * 1000 / u64::from(model.bears().max(1));
+            let score = u64::from(room) * 1000 / u64::from(model.capacity().max(1));
             (room > 0).then(|| (!avoid.contains(name), score, name))
         });
-        free.max_by_key(|(fresh, score, _)| (*fresh, *score))
+        free.max_by_key(|(preferred, score, _)| (*preferred, *score))
             .map(|(_, _, name)| name.clone())
     }
 
@@ -423,13 +423,13 @@
             generation: model.generation(),
             granted: now,
         };
-        let grant = self.granted(attempt, &active);
+        let grant = self.grant_of(attempt, &active);
         self.active.insert(attempt, active);
         self.counts.granted += 1;
         Some(grant)
     }
 
-    fn granted(&self, attempt: AttemptId, active: &Active) -> Grant {
+    fn grant_of(&self, attempt: AttemptId, active: &Active) -> Grant {
         Grant {
             attempt,
             cell: self.id.clone(),
@@ -439,18 +439,18 @@
         }
     }
 
-    fn has_peers(&self) -> bool {
+    fn has_siblings(&self) -> bool {
         let service = self.config.services.get(&self.id.service);
         service.is_some_and(|s| s.cells > 1)
     }
 
-    fn tell(&mut self, now: Moment, out: &mut Vec<CellOutput>) {
-        if !self.has_peers() {
+    fn publish_totals(&mut self, now: Moment, out: &mut Vec<CellOutput>) {
+        if !self.has_siblings() {
             return;
         }
         let accounts = self.exchange.tell(now, &self.queue);
         if !accounts.is_empty() {
-            out.push(CellOutput::Tell(Totals {
+            out.push(CellOutput::Totals(Totals {
                 cell: self.id.clone(),
                 epoch: self.epoch,
                 accounts,
@@ -458,15 +458,15 @@
         }
     }
 
-    fn hear(&mut self, now: Moment, totals: Totals) {
+    fn merge_totals(&mut self, now: Moment, totals: Totals) {
         if totals.cell.service == self.id.service && totals.cell != self.id {
             self.exchange.hear(now, totals, &mut self.queue);
         }
     }
 
-    fn show(&mut self, out: &mut Vec<CellOutput>) {
+    fn report_states(&mut self, out: &mut Vec<CellOutput>) {
         for (name, model) in &mut self.endpoints {
-            if let Some(state) = model.changed() {
+            if let Some(state) = model.take_change() {
                 let endpoint = name.clone();
                 out.push(CellOutput::Changed { endpoint, state });
             }
@@ -474,8 +474,8 @@
     }
 }
 
-fn sight<'a>(active: &'a Active, report: &Report) -> Sight<'a> {
-    Sight {
+fn observation<'a>(active: &'a Active, report: &Report) -> Observation<'a> {
+    Observation {
         attempt: report.attempt,
         granted: active.granted,
         generation: active.generation,
--- a/cornelstand/src/cell_message.rs
+++ b/cornelstand/src/cell_message.rs
@@ -10,16 +10,16 @@
 use crate::lease::Tenure;
 use crate::name::{AttemptId, EndpointName, InstanceName};
 
-/// Event for a cell.
+/// Input event of a cell.
 #[derive(Clone, Debug)]
 pub enum CellInput {
     /// An entry offers a request.
     Offer(Offer),
-    /// An entry takes an offer back.
+    /// An entry withdraws an offer.
     Withdraw(AttemptId),
-    /// Nobody waits for a grant, given or still to come. The attempt may be offered again.
+    /// Nobody awaits the reply to an offer, granted or queued. It may be offered again.
     Undelivered(AttemptId),
-    /// An entry tells how a granted attempt goes.
+    /// Progress or outcome of a granted attempt.
     Report(Report),
     /// An endpoint reported its load.
     Load {
@@ -28,24 +28,24 @@
         /// The report.
         load: Load,
     },
-    /// The endpoints that the platform is about to stop, all of them.
+    /// Complete set of the endpoints that the platform is about to stop.
     Leaving(BTreeSet<EndpointName>),
     /// A revision of the configuration is in force.
     Configure(Arc<Config>),
-    /// What the owner may do has changed.
+    /// The owner's lease was extended or reduced.
     Lease(Tenure),
-    /// An entry lists what it runs.
+    /// An entry lists its running attempts.
     Census(Census),
     /// The cell was taken over without a handover.
     Recover {
-        /// Entries that may run requests of the cell and have still to report.
+        /// Entries that may run requests of the cell and have not reported yet.
         entries: BTreeSet<InstanceName>,
     },
-    /// An entry is gone for good.
+    /// An entry is permanently gone.
     EntryGone(InstanceName),
-    /// Another cell of the service tells what service it has given.
+    /// Service counters of another cell of the same service.
     Totals(Totals),
-    /// Time has passed.
+    /// The timer is due.
     Tick,
 }
 
@@ -54,15 +54,15 @@
 pub enum CellOutput {
     /// A waiting offer is granted.
     Grant(Grant),
-    /// An offer is refused. It has not run.
+    /// An offer is refused without having run.
     Refuse {
         /// The attempt.
         attempt: AttemptId,
         /// The reason.
         refusal: Refusal,
     },
-    /// To be told to the other cells of the service. It may be lost.
-    Tell(Totals),
+    /// Service counters for the other cells of the service. They may be lost.
+    Totals(Totals),
     /// An endpoint has changed state.
     Changed {
         /// The endpoint.
--- a/cornelstand/src/dispatcher.rs
+++ b/cornelstand/src/dispatcher.rs
@@ -1,8 +1,8 @@
 //! The actor that owns one cell.
 //!
-//! It gives each message to the [`Cell`] with the time, carries grants and refusals to those who
-//! wait for them, sets the cell's timer and polls its endpoints for load. After a handover it
-//! refuses everything and names the next owner.
+//! It passes each message to the [`Cell`] with the current time, delivers grants and refusals to
+//! the waiting entries, runs the cell's timer and polls its endpoints for load. After a handover it
+//! refuses all offers and names the next owner.
 
 use std::collections::{BTreeSet, HashMap};
 use std::net::SocketAddr;
@@ -28,24 +28,24 @@
 use crate::name::{AttemptId, EndpointName, InstanceName};
 use crate::timeline::{Timeline, Topic};
 
-/// Messages that may wait for the actor.
-const MAILBOX: usize = 1024;
+/// Capacity of the actor's mailbox, in messages.
+const MAILBOX_CAPACITY: usize = 1024;
 
-/// Time between load reports of an endpoint, and the deadline of each.
-const POLL: Duration = Duration::from_secs(1);
+/// Interval of load polls, and the timeout of each.
+const POLL_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Load reports asked for at once.
-const POLLS: usize = 16;
+/// Most concurrent load polls.
+const MAX_POLLS: usize = 16;
 
-/// Offers a request. The reply comes through the receiver, which fails if the actor stops.
+/// Offers a request. The reply arrives on the receiver, which fails if the actor stops.
 #[derive(Debug)]
 pub struct Ask(pub Offer);
 
-/// Takes an offer back whose grant the entry does not use.
+/// Withdraws an offer whose grant the entry does not use.
 #[derive(Debug)]
 pub struct Withdraw(pub AttemptId);
 
-/// Tells how granted attempts go. Answers whether the reports were taken in.
+/// Reports on granted attempts. Returns whether the cell is owned and took them.
 #[derive(Debug)]
 pub struct Tell(pub Vec<Report>);
 
@@ -53,59 +53,59 @@
 #[derive(Debug)]
 pub struct Configure(pub Arc<Config>);
 
-/// Extends or reduces the ownership of the cell.
+/// Extends or reduces the lease of the cell.
 #[derive(Debug)]
 pub struct SetLease(pub Tenure);
 
-/// Names all endpoints that the platform is about to stop.
+/// Sets the complete list of endpoints that the platform is about to stop.
 #[derive(Debug)]
 pub struct SetLeaving(pub BTreeSet<EndpointName>);
 
-/// Tells that the cell was taken over without a handover, and who has still to report.
+/// Starts recovery after a takeover without a handover. Names the entries that have yet to report.
 #[derive(Debug)]
 pub struct Recover(pub BTreeSet<InstanceName>);
 
-/// Takes in what an entry runs.
+/// Passes on the running attempts of an entry.
 #[derive(Debug)]
 pub struct Learn(pub Census);
 
-/// Tells that an entry is gone for good.
+/// Notifies that an entry is permanently gone.
 #[derive(Debug)]
 pub struct EntryGone(pub InstanceName);
 
-/// Asks for the status, `None` after a handover.
+/// Returns the status, `None` after a handover.
 #[derive(Debug)]
 pub struct Inspect;
 
-/// Ends the ownership, `None` if it has ended. Offers that wait are refused with the next owner.
+/// Ends the ownership, `None` if it has ended. Queued offers are refused, naming the next owner.
 #[derive(Debug)]
 pub struct HandOver {
-    /// The next owner, if it is known.
+    /// The next owner, if known.
     pub next: Option<InstanceName>,
 }
 
-/// Names the channel for totals to the other cells of the service. Those it has no room for are
+/// Sets the channel for totals to the other cells of the service. Totals that find it full are
 /// dropped.
 #[derive(Debug)]
 pub struct Publish(pub mpsc::Sender<Totals>);
 
-/// Takes in the totals of another cell of the service.
+/// Passes on the totals of another cell of the service.
 #[derive(Debug)]
 pub struct Hear(pub Totals);
 
-/// The timer of the cell is due.
+/// Signals that the timer of the cell is due.
 struct Tick;
 
 /// An endpoint reported its load.
-struct Loaded {
+struct LoadPolled {
     endpoint: EndpointName,
     load: Load,
 }
 
-/// Asks for the endpoints to poll, once every [`POLL`].
-struct Polled;
+/// Returns the endpoints to poll, once every [`POLL_INTERVAL`].
+struct PollTargets;
 
-/// Owner of one cell.
+/// Actor that owns one cell.
 #[derive(Debug)]
 pub struct Dispatcher {
     cell: Option<Cell>,
@@ -119,13 +119,13 @@
 }
 
 impl Dispatcher {
-    /// Starts an actor for `cell`, with its timer and its polls, on the current runtime.
+    /// Starts an actor for `cell`, with its timer and load polls, on the current runtime.
     ///
     /// They end when the last address is dropped.
     ///
     /// # Panics
     ///
-    /// If the HTTP client cannot be set up, which takes no input.
+    /// Panics if the HTTP client cannot be set up, which depends on no input.
     #[must_use]
     pub fn spawn(cell: Cell, clock: Clock, timeline: Timeline) -> Address<Self> {
         let (timer, due) = watch::channel(None);
@@ -139,9 +139,9 @@
             timer,
             out: Vec::new(),
         };
-        let address = xtra::spawn_tokio(dispatcher, Mailbox::bounded(MAILBOX));
-        tokio::spawn(keep_time(address.downgrade(), clock, due));
-        tokio::spawn(poll(address.downgrade()));
+        let address = xtra::spawn_tokio(dispatcher, Mailbox::bounded(MAILBOX_CAPACITY));
+        tokio::spawn(run_timer(address.downgrade(), clock, due));
+        tokio::spawn(poll_load(address.downgrade()));
         address
     }
 
@@ -151,7 +151,7 @@
             let Some(cell) = &mut self.cell else { return };
             cell.handle(self.clock.now(), input, &mut self.out);
             for output in std::mem::take(&mut self.out) {
-                let undelivered = self.carry_out(output);
+                let undelivered = self.apply(output);
                 inputs.extend(undelivered.map(CellInput::Undelivered));
             }
         }
@@ -163,18 +163,18 @@
         });
     }
 
-    /// Forgets waiting offers whose askers have gone without withdrawing them.
-    fn sweep(&mut self) {
-        let gone = self.replies.iter().filter(|(_, s)| s.is_closed());
-        let gone: Vec<AttemptId> = gone.map(|(attempt, _)| *attempt).collect();
-        for attempt in gone {
+    /// Drops queued offers whose receivers were dropped without a withdrawal.
+    fn drop_abandoned(&mut self) {
+        let closed = self.replies.iter().filter(|(_, s)| s.is_closed());
+        let abandoned: Vec<AttemptId> = closed.map(|(attempt, _)| *attempt).collect();
+        for attempt in abandoned {
             self.replies.remove(&attempt);
             self.handle(CellInput::Undelivered(attempt));
         }
     }
 
-    /// Carries out one effect. Returns the attempt of a grant that nobody waits for.
-    fn carry_out(&mut self, output: CellOutput) -> Option<AttemptId> {
+    /// Applies one effect. Returns the attempt of a grant that could not be delivered.
+    fn apply(&mut self, output: CellOutput) -> Option<AttemptId> {
         match output {
             CellOutput::Grant(grant) => {
                 let attempt = grant.attempt;
@@ -184,8 +184,8 @@
             CellOutput::Refuse { attempt, refusal } => {
                 self.reply(attempt, Err(refusal));
             }
-            CellOutput::Tell(totals) => {
-                // Later totals make up for any that are dropped.
+            CellOutput::Totals(totals) => {
+                // Totals are cumulative, so later ones include any that are dropped.
                 self.totals.as_ref().map(|peers| peers.try_send(totals));
             }
             CellOutput::Changed { endpoint, state } => {
@@ -197,7 +197,7 @@
         None
     }
 
-    /// Gives the reply to whoever waits for it, and tells whether anybody does.
+    /// Delivers the reply, and returns whether its receiver was still there.
     fn reply(&mut self, attempt: AttemptId, reply: Reply) -> bool {
         let sender = self.replies.remove(&attempt);
         sender.is_some_and(|s| s.send(reply).is_ok())
@@ -266,14 +266,14 @@
     }
 }
 
-impl Handler<Polled> for Dispatcher {
+impl Handler<PollTargets> for Dispatcher {
     type Return = Vec<(EndpointName, SocketAddr)>;
 
-    async fn handle(&mut self, _: Polled, _: &mut Context<Self>) -> Self::Return {
-        self.sweep();
+    async fn handle(&mut self, _: PollTargets, _: &mut Context<Self>) -> Self::Return {
+        self.drop_abandoned();
         let cell = self.cell.iter();
-        let polled = cell.flat_map(|c| c.polled().map(|(name, at)| (name.clone(), at)));
-        polled.collect()
+        let targets = cell.flat_map(|c| c.polled().map(|(name, at)| (name.clone(), at)));
+        targets.collect()
     }
 }
 
@@ -298,12 +298,12 @@
     Learn(census) => Learn, CellInput::Census(census);
     EntryGone(entry) => EntryGone, CellInput::EntryGone(entry);
     Hear(totals) => Hear, CellInput::Totals(totals);
-    Loaded { endpoint, load } => Loaded, CellInput::Load { endpoint, load };
+    LoadPolled { endpoint, load } => LoadPolled, CellInput::Load { endpoint, load };
     _ => Tick, CellInput::Tick;
 }
 
 /// Sends a tick whenever the cell's timer is due.
-async fn keep_time(
+async fn run_timer(
     dispatcher: WeakAddress<Dispatcher>,
     clock: Clock,
     mut due: watch::Receiver<Option<Moment>>,
@@ -312,7 +312,7 @@
         let at = *due.borrow_and_update();
         let ended = tokio::select! {
             changed = due.changed() => changed.is_err(),
-            () = expire(clock, at) => dispatcher.send(Tick).await.is_err(),
+            () = wait_until(clock, at) => dispatcher.send(Tick).await.is_err(),
         };
         if ended {
             return;
@@ -320,36 +320,39 @@
     }
 }
 
-async fn expire(clock: Clock, at: Option<Moment>) {
+async fn wait_until(clock: Clock, at: Option<Moment>) {
     match at {
         Some(at) => sleep_until(clock.instant(at)).await,
         None => std::future::pending().await,
     }
 }
 
-/// Asks the endpoints for their load until the actor stops. One that does not answer is left out.
-async fn poll(dispatcher: WeakAddress<Dispatcher>) {
-    let http = reqwest::Client::builder().no_proxy().timeout(POLL).build();
+/// Polls the endpoints for load until the actor stops. One that does not answer is skipped.
+async fn poll_load(dispatcher: WeakAddress<Dispatcher>) {
+    let http = reqwest::Client::builder()
+        .no_proxy()
+        .timeout(POLL_INTERVAL)
+        .build();
     let http = http.expect("an HTTP client without TLS needs no system resources");
-    let mut ticks = interval(POLL);
+    let mut ticks = interval(POLL_INTERVAL);
     ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
     loop {
         ticks.tick().await;
-        let Ok(polled) = dispatcher.send(Polled).await else {
+        let Ok(targets) = dispatcher.send(PollTargets).await else {
             return;
         };
         let (http, dispatcher) = (&http, &dispatcher);
-        let asked = stream::iter(polled).map(|(endpoint, address)| async move {
-            if let Some(load) = ask_load(http, address).await {
+        let polls = stream::iter(targets).map(|(endpoint, address)| async move {
+            if let Some(load) = fetch_load(http, address).await {
                 // The next message to a stopped actor ends the loop.
-                drop(dispatcher.send(Loaded { endpoint, load }).await);
+                drop(dispatcher.send(LoadPolled { endpoint, load }).await);
             }
         });
-        asked.buffer_unordered(POLLS).collect::<()>().await;
+        polls.buffer_unordered(MAX_POLLS).collect::<()>().await;
     }
 }
 
-async fn ask_load(http: &reqwest::Client, address: SocketAddr) -> Option<Load> {
+async fn fetch_load(http: &reqwest::Client, address: SocketAddr) -> Option<Load> {
     let request = http.get(format!("http://{address}/load"));
     let answer = request.send().await.ok()?.error_for_status().ok()?;
     answer.json().await.ok()
--- a/cornelstand/src/endpoint.rs
+++ b/cornelstand/src/endpoint.rs
@@ -1,9 +1,9 @@
-//! What the dispatcher knows of one endpoint, and how many requests it may run at once.
+//! The dispatcher's model of one endpoint and its concurrency limit.
 //!
-//! The limit is what the endpoint surely bears: its cold number after a boot, rising with the
-//! answers it has given since. A boot counts as proven once an answer has shown it. Load reports
-//! lag, so they confirm a rise of the proven boot and cut the limit when they show a new one.
-//! Each cut starts a generation; what attempts of an earlier generation tell cannot cut again.
+//! The limit is a safe estimate of the endpoint's capacity: its cold limit after a boot, rising
+//! with each answer since. A boot is proven once an answer carries its identity. Load reports
+//! lag, so they may raise the limit of a proven boot only, and cut it when they name a new boot.
+//! Each cut starts a generation; outcomes of attempts of an earlier one cannot cut again.
 //! `docs/design/endpoints.md` has the reasons.
 
 use std::collections::BTreeSet;
@@ -18,39 +18,39 @@
 use crate::name::{AttemptId, BootId, InstanceName};
 use crate::probe::Probe;
 
-/// Oldest that a load report may be.
+/// Maximum age of a load report.
 pub(crate) const LOAD_LAG: Duration = Duration::from_secs(3);
 
-/// Longest that requests which nobody can follow are assumed to run without a load report.
-const DOUBT: Duration = Duration::from_mins(1);
+/// How long untracked requests are assumed to run if no load report bounds them.
+const UNTRACKED_TIMEOUT: Duration = Duration::from_mins(1);
 
-/// While attempts run: how long a boot counts as proven after it was seen, and age from which an
-/// attempt proves it. Less than a restart takes beyond the outcomes of what it cuts.
-const PROOF: Duration = Duration::from_millis(500);
+/// While attempts run: how long a boot stays proven after it was seen, and the age at which an
+/// attempt proves it. A restart takes longer than this plus the delay of a broken outcome.
+const BOOT_PROOF: Duration = Duration::from_millis(500);
 
-/// Boot identities that are remembered as ended.
-const RETIRED: usize = 8;
+/// Most identities of ended boots that are remembered.
+const MAX_RETIRED: usize = 8;
 
-/// First bytes seen before a late one is told from an ordinary one.
-const HISTORY: u32 = 16;
+/// First-byte times needed before one can count as late.
+const MIN_FIRST_BYTES: u32 = 16;
 
-/// A first byte is late above this many times the average.
+/// A first byte is late if it takes more than this many times the average.
 const LATE_FACTOR: u32 = 8;
 
-/// Weight of the latest first byte in the average is one over this.
-const FIRST_WEIGHT: u32 = 16;
+/// Inverse weight of the latest first-byte time in the moving average.
+const AVERAGE_WEIGHT: u32 = 16;
 
 /// State of an endpoint.
 #[derive(Clone, Copy, Debug, Deserialize, Display, Eq, IsVariant, PartialEq, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum State {
-    /// It bears no more than after a boot.
+    /// Its limit is that of a fresh boot.
     #[display("cold")]
     Cold,
-    /// It bears more with each answer.
+    /// Its limit rises with each answer.
     #[display("warming")]
     Warming,
-    /// It bears its full number.
+    /// It has its full limit.
     #[display("warm")]
     Warm,
     /// It gets single probes until one is answered.
@@ -59,75 +59,75 @@
     /// The platform is about to stop it. No new work.
     #[display("leaving")]
     Leaving,
-    /// It, or its data centre, is taken out by the configuration. No new work.
+    /// The configuration takes it, or its data centre, out of service. No new work.
     #[display("out")]
     Out,
 }
 
-/// Requests that may run at an endpoint beside those the dispatcher knows of.
+/// Requests that may run at an endpoint without being tracked by the dispatcher.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-enum Foreign {
-    /// Not known; nothing is granted.
+enum Untracked {
+    /// Any number; nothing is granted.
     Unknown,
     /// At most this many.
     AtMost(u32),
 }
 
-/// What an attempt showed of its endpoint.
+/// What an attempt revealed about its endpoint.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct Sight<'a> {
+pub(crate) struct Observation<'a> {
     pub(crate) attempt: AttemptId,
     pub(crate) granted: Moment,
     /// Generation of the endpoint when the attempt was granted.
     pub(crate) generation: u32,
-    /// Who ran the attempt.
+    /// The entry that ran the attempt.
     pub(crate) entry: Option<&'a InstanceName>,
     pub(crate) boot: Option<BootId>,
     pub(crate) first: Option<Duration>,
 }
 
-/// What was known of a boot.
+/// State of a boot before a broken connection.
 #[derive(Clone, Copy, Debug)]
-struct Held {
+struct SavedBoot {
     boot: BootId,
     answers: u32,
     load: Option<(BootId, u32)>,
     confirm: bool,
 }
 
-/// Knowledge of one endpoint.
+/// Model of one endpoint.
 #[derive(Debug)]
 pub(crate) struct EndpointModel {
     cold: u32,
     warm: u32,
     ramp: u32,
-    /// Boot that an answer has shown.
+    /// Boot identity seen in an answer.
     boot: Option<BootId>,
     retired: Vec<BootId>,
-    /// The boot before a broken connection, restored when it turns out to live on.
-    held: Option<Held>,
+    /// The boot before a broken connection, restored if the endpoint did not restart.
+    saved: Option<SavedBoot>,
     generation: u32,
-    /// Outcomes that are answers since the boot or the latest cut.
+    /// Answered outcomes since the boot or the latest cut.
     answers: u32,
-    /// Latest load report of a boot that has not ended.
+    /// Boot and answers of the latest load report, unless that boot has ended.
     load: Option<(BootId, u32)>,
-    /// Whether load reports of the present boot confirm a rise.
+    /// Whether load reports of the current boot may raise the limit.
     confirm: bool,
-    firsts: u32,
-    first: Duration,
+    first_count: u32,
+    first_average: Duration,
     /// When the boot was last seen.
-    proof: Moment,
-    /// Broken attempts since `held` was set.
-    broken: u32,
+    boot_seen: Moment,
+    /// Broken attempts since `saved` was set.
+    broken_count: u32,
     probe: Probe,
     leaving: bool,
     out: bool,
-    /// Running attempts, by the moment of their grant.
-    calls: BTreeSet<(Moment, AttemptId)>,
-    foreign: Foreign,
-    /// When `foreign` last rose; load reports say nothing of it until [`LOAD_LAG`] later.
-    risen: Moment,
-    shown: State,
+    /// Running attempts, ordered by grant time.
+    attempts: BTreeSet<(Moment, AttemptId)>,
+    untracked: Untracked,
+    /// When `untracked` last rose. Load reports received within [`LOAD_LAG`] may predate it.
+    raised: Moment,
+    last_state: State,
 }
 
 impl EndpointModel {
@@ -138,25 +138,25 @@
             ramp: 0,
             boot: None,
             retired: Vec::new(),
-            held: None,
+            saved: None,
             generation: 0,
             answers: 0,
             load: None,
             confirm: true,
-            firsts: 0,
-            first: Duration::ZERO,
-            proof: Moment::default(),
-            broken: 0,
+            first_count: 0,
+            first_average: Duration::ZERO,
+            boot_seen: Moment::default(),
+            broken_count: 0,
             probe: Probe::new(),
             leaving: false,
             out: false,
-            calls: BTreeSet::new(),
-            foreign: Foreign::AtMost(0),
-            risen: Moment::default(),
-            shown: State::Cold,
+            attempts: BTreeSet::new(),
+            untracked: Untracked::AtMost(0),
+            raised: Moment::default(),
+            last_state: State::Cold,
         };
         model.configure(config, out);
-        model.shown = model.state();
+        model.last_state = model.state();
         model
     }
 
@@ -179,9 +179,9 @@
         self.leaving = leaving;
     }
 
-    /// Takes over what an earlier owner had learned. The boot has still to show.
+    /// Restores the state left by an earlier owner. An answer has yet to prove the boot.
     pub(crate) fn restore(&mut self, now: Moment, known: &EndpointState) {
-        self.haunt(now, known.unseen);
+        self.add_untracked(now, known.unseen);
         self.boot = known.boot;
         self.answers = known.answers;
     }
@@ -199,7 +199,7 @@
     }
 
     pub(crate) fn running(&self) -> u32 {
-        u32::try_from(self.calls.len()).unwrap_or(u32::MAX)
+        u32::try_from(self.attempts.len()).unwrap_or(u32::MAX)
     }
 
     pub(crate) fn state(&self) -> State {
@@ -209,31 +209,31 @@
             State::Leaving
         } else if self.probe.is_suspect() {
             State::Suspect
-        } else if self.bears() >= self.warm {
+        } else if self.capacity() >= self.warm {
             State::Warm
-        } else if self.bears() > self.cold {
+        } else if self.capacity() > self.cold {
             State::Warming
         } else {
             State::Cold
         }
     }
 
-    /// The state, if it differs from the one that this last returned.
-    pub(crate) fn changed(&mut self) -> Option<State> {
+    /// The state, if it has changed since the last call.
+    pub(crate) fn take_change(&mut self) -> Option<State> {
         let state = self.state();
-        let changed = state != self.shown;
-        self.shown = state;
+        let changed = state != self.last_state;
+        self.last_state = state;
         changed.then_some(state)
     }
 
-    /// Tells whether the endpoint takes new work now or later.
-    pub(crate) fn is_in(&self) -> bool {
+    /// Whether the endpoint is open to new work, now or after a backoff.
+    pub(crate) fn accepts_work(&self) -> bool {
         !self.out && !self.leaving
     }
 
-    /// Requests at once that the endpoint surely bears.
-    pub(crate) fn bears(&self) -> u32 {
-        let answers = self.answers.max(self.reported());
+    /// Concurrent requests that the endpoint is known to sustain.
+    pub(crate) fn capacity(&self) -> u32 {
+        let answers = self.answers.max(self.reported_answers());
         if answers >= self.ramp {
             return self.warm;
         }
@@ -242,13 +242,16 @@
         self.cold + u32::try_from(gained).unwrap_or(0)
     }
 
-    /// Requests at once that may be granted. A boot that was not seen lately, and has no
-    /// connection that would have broken at a restart, counts as cold until it shows.
+    /// Concurrent requests that may be granted. A boot that was not seen recently, and has no
+    /// connection that a restart would have broken, counts as cold until it is seen again.
     pub(crate) fn limit(&self, now: Moment) -> u32 {
-        let proved = self.calls.first().map_or(now <= self.proof, |(oldest, _)| {
-            now <= self.proof.after(PROOF) || oldest.after(PROOF) <= now
-        });
-        if proved { self.bears() } else { self.cold }
+        let proved = self
+            .attempts
+            .first()
+            .map_or(now <= self.boot_seen, |(oldest, _)| {
+                now <= self.boot_seen.after(BOOT_PROOF) || oldest.after(BOOT_PROOF) <= now
+            });
+        if proved { self.capacity() } else { self.cold }
     }
 
     /// Requests that may be granted now, where `part` takes the dispatcher's part of a limit.
@@ -266,95 +269,95 @@
         }
     }
 
-    /// Requests that may run beside the known ones, `None` if that is not known.
+    /// Upper bound on untracked requests, `None` if there is none.
     pub(crate) fn foreign(&self, now: Moment) -> Option<u32> {
-        match self.foreign {
-            _ if now >= self.risen.after(DOUBT) => Some(0),
-            Foreign::Unknown => None,
-            Foreign::AtMost(most) => Some(most),
+        match self.untracked {
+            _ if now >= self.raised.after(UNTRACKED_TIMEOUT) => Some(0),
+            Untracked::Unknown => None,
+            Untracked::AtMost(most) => Some(most),
         }
     }
 
-    /// When requests that nobody can follow are taken as ended.
-    pub(crate) fn doubt_ends(&self) -> Option<Moment> {
-        (self.foreign != Foreign::AtMost(0)).then(|| self.risen.after(DOUBT))
+    /// When untracked requests are assumed to have ended.
+    pub(crate) fn untracked_until(&self) -> Option<Moment> {
+        (self.untracked != Untracked::AtMost(0)).then(|| self.raised.after(UNTRACKED_TIMEOUT))
     }
 
     /// When a suspect endpoint may be probed again.
-    pub(crate) fn probe(&self) -> Option<Moment> {
+    pub(crate) fn probe_due(&self) -> Option<Moment> {
         self.state().is_suspect().then_some(self.probe.due())
     }
 
     /// Counts a grant.
     pub(crate) fn start(&mut self, now: Moment, attempt: AttemptId) {
-        self.calls.insert((now, attempt));
+        self.attempts.insert((now, attempt));
         self.probe.start(now);
     }
 
     /// Counts an attempt that an earlier owner granted.
     pub(crate) fn adopt(&mut self, granted: Moment, attempt: AttemptId) {
-        self.calls.insert((granted, attempt));
+        self.attempts.insert((granted, attempt));
     }
 
     /// Counts an end, whatever it was.
     pub(crate) fn stop(&mut self, granted: Moment, attempt: AttemptId) {
-        self.calls.remove(&(granted, attempt));
+        self.attempts.remove(&(granted, attempt));
     }
 
-    /// Takes in what a running attempt showed.
-    pub(crate) fn progress(&mut self, now: Moment, sight: Sight<'_>) {
-        self.sight(now, sight);
-        if sight.boot.is_some() && sight.generation == self.generation {
+    /// Processes a progress report of a running attempt.
+    pub(crate) fn progress(&mut self, now: Moment, seen: Observation<'_>) {
+        self.observe(now, seen);
+        if seen.boot.is_some() && seen.generation == self.generation {
             self.probe.clear();
         }
     }
 
-    fn sight(&mut self, now: Moment, sight: Sight<'_>) {
-        let Some(boot) = sight.boot else { return };
+    fn observe(&mut self, now: Moment, seen: Observation<'_>) {
+        let Some(boot) = seen.boot else { return };
         if self.boot != Some(boot) && self.retired.contains(&boot) {
-            self.revive(now, boot, sight.generation);
+            self.restore_boot(now, boot, seen.generation);
         } else if self.boot != Some(boot) {
             self.adopt_boot(boot);
         }
         if self.boot == Some(boot) {
-            self.proof = now;
+            self.boot_seen = now;
         }
     }
 
-    /// Takes in how a counted attempt ended.
-    pub(crate) fn ended(&mut self, now: Moment, sight: Sight<'_>, ending: Ending) {
-        self.stop(sight.granted, sight.attempt);
-        self.sight(now, sight);
+    /// Processes the outcome of a counted attempt.
+    pub(crate) fn ended(&mut self, now: Moment, seen: Observation<'_>, ending: Ending) {
+        self.stop(seen.granted, seen.attempt);
+        self.observe(now, seen);
         match ending {
-            Ending::Answered => self.answered(sight),
+            Ending::Answered => self.answered(seen),
             Ending::Cancelled | Ending::Failed => {}
-            Ending::NotSent => self.probe.strike(now, sight.entry),
+            Ending::NotSent => self.probe.record_failure(now, seen.entry),
             Ending::Silent => {
-                self.haunt(now, 1);
-                self.probe.strike(now, sight.entry);
+                self.add_untracked(now, 1);
+                self.probe.record_failure(now, seen.entry);
             }
-            Ending::Overloaded => self.overloaded(now, sight),
-            Ending::Broken => self.broken(now, sight),
+            Ending::Overloaded => self.overloaded(now, seen),
+            Ending::Broken => self.broken(now, seen),
         }
     }
 
-    /// Takes in a load report of up to [`LOAD_LAG`] ago.
+    /// Processes a load report, which may be up to [`LOAD_LAG`] old.
     ///
-    /// `settled` counts the known attempts that were running already at that time.
-    pub(crate) fn load(&mut self, now: Moment, load: Load, settled: u32) {
-        if now >= self.risen.after(LOAD_LAG) {
+    /// `counted` is the number of tracked attempts that it includes at any such age.
+    pub(crate) fn load(&mut self, now: Moment, load: Load, counted: u32) {
+        if now >= self.raised.after(LOAD_LAG) {
             let others = load.running.saturating_add(load.waiting);
-            let others = others.saturating_sub(settled);
-            self.foreign = match self.foreign {
-                Foreign::Unknown => Foreign::AtMost(others),
-                Foreign::AtMost(most) => Foreign::AtMost(most.min(others)),
+            let others = others.saturating_sub(counted);
+            self.untracked = match self.untracked {
+                Untracked::Unknown => Untracked::AtMost(others),
+                Untracked::AtMost(most) => Untracked::AtMost(most.min(others)),
             };
         }
         if self.retired.contains(&load.boot) {
             return;
         }
         if self.boot.is_some_and(|b| b != load.boot) {
-            self.cut();
+            self.retire_boot();
         }
         let known = self.load.filter(|(boot, _)| *boot == load.boot);
         if known.is_none() && self.boot.is_none() {
@@ -364,95 +367,95 @@
         self.load = Some((load.boot, load.answers.max(answers)));
     }
 
-    /// Assumes that requests unknown to the dispatcher may run.
+    /// Assumes that any number of untracked requests may run.
     pub(crate) fn doubt(&mut self, now: Moment) {
-        self.foreign = Foreign::Unknown;
-        self.risen = now;
+        self.untracked = Untracked::Unknown;
+        self.raised = now;
     }
 
-    /// Assumes that all running requests are known.
+    /// Assumes that all running requests are tracked.
     pub(crate) fn settle(&mut self) {
-        self.foreign = Foreign::AtMost(0);
+        self.untracked = Untracked::AtMost(0);
     }
 
-    /// Counts one known attempt as one that can no longer be followed.
+    /// Turns a tracked attempt into an untracked one.
     pub(crate) fn orphan(&mut self, now: Moment, granted: Moment, attempt: AttemptId) {
         self.stop(granted, attempt);
-        self.haunt(now, 1);
+        self.add_untracked(now, 1);
     }
 
-    /// Counts attempts that may still run although their connections are gone.
-    fn haunt(&mut self, now: Moment, count: u32) {
+    /// Counts requests that may still run although no connection tracks them.
+    fn add_untracked(&mut self, now: Moment, count: u32) {
         if count == 0 {
             return;
         }
-        self.risen = now;
-        if let Foreign::AtMost(most) = &mut self.foreign {
+        self.raised = now;
+        if let Untracked::AtMost(most) = &mut self.untracked {
             *most = most.saturating_add(count);
         }
     }
 
-    /// Takes a boot that was not seen before as the present one.
+    /// Makes a boot that was not seen before the current one.
     fn adopt_boot(&mut self, boot: BootId) {
         if self.boot.is_some() {
-            self.cut();
+            self.retire_boot();
         }
         self.boot = Some(boot);
-        self.held = None;
-        self.broken = 0;
-        if let Foreign::AtMost(most) = &mut self.foreign {
+        self.saved = None;
+        self.broken_count = 0;
+        if let Untracked::AtMost(most) = &mut self.untracked {
             *most = 0;
         }
     }
 
-    fn answered(&mut self, sight: Sight<'_>) {
-        // Without an entry, only an earlier owner's attempt was reported, whose answer that owner
-        // may have counted.
-        let followed = sight.entry.is_some();
-        if followed && sight.boot.is_some() && sight.boot == self.boot {
+    fn answered(&mut self, seen: Observation<'_>) {
+        // An attempt without an entry was granted by an earlier owner, which may have counted the
+        // answer already.
+        let is_tracked = seen.entry.is_some();
+        if is_tracked && seen.boot.is_some() && seen.boot == self.boot {
             self.answers = self.answers.saturating_add(1);
         }
         self.probe.clear();
-        if let Some(first) = sight.first {
-            self.first_byte(first, sight.generation);
+        if let Some(first) = seen.first {
+            self.first_byte(first, seen.generation);
         }
     }
 
     fn first_byte(&mut self, first: Duration, generation: u32) {
-        let late = self.firsts >= HISTORY && first > self.first * LATE_FACTOR;
+        let late = self.first_count >= MIN_FIRST_BYTES && first > self.first_average * LATE_FACTOR;
         if late {
-            self.slump(generation);
+            self.cut_limit(generation);
             return;
         }
-        self.first = if self.firsts == 0 {
+        self.first_average = if self.first_count == 0 {
             first
         } else {
-            (self.first * (FIRST_WEIGHT - 1) + first) / FIRST_WEIGHT
+            (self.first_average * (AVERAGE_WEIGHT - 1) + first) / AVERAGE_WEIGHT
         };
-        self.firsts = self.firsts.saturating_add(1);
+        self.first_count = self.first_count.saturating_add(1);
     }
 
-    fn broken(&mut self, now: Moment, sight: Sight<'_>) {
-        if sight.generation == self.generation {
-            let held = self.boot.map(|boot| self.hold(boot)).or(self.held);
-            self.cut();
-            self.held = held;
-            self.probe.strike(now, sight.entry);
+    fn broken(&mut self, now: Moment, seen: Observation<'_>) {
+        if seen.generation == self.generation {
+            let saved = self.boot.map(|boot| self.save(boot)).or(self.saved);
+            self.retire_boot();
+            self.saved = saved;
+            self.probe.record_failure(now, seen.entry);
         }
-        if self.held.is_some() {
-            self.broken += 1;
+        if self.saved.is_some() {
+            self.broken_count += 1;
         }
     }
 
-    fn overloaded(&mut self, now: Moment, sight: Sight<'_>) {
-        if sight.generation == self.generation {
-            self.slump(sight.generation);
-            self.probe.strike(now, sight.entry);
+    fn overloaded(&mut self, now: Moment, seen: Observation<'_>) {
+        if seen.generation == self.generation {
+            self.cut_limit(seen.generation);
+            self.probe.record_failure(now, seen.entry);
         }
     }
 
-    /// Cuts the limit of a boot that goes on, so that only its own answers raise it again.
-    fn slump(&mut self, generation: u32) {
+    /// Cuts the limit of a boot that keeps running; only answered outcomes raise it again.
+    fn cut_limit(&mut self, generation: u32) {
         if generation != self.generation {
             return;
         }
@@ -460,26 +463,26 @@
         self.answers = 0;
         self.load = None;
         self.confirm = false;
-        self.firsts = 0;
+        self.first_count = 0;
     }
 
-    /// Cuts the limit for a boot that is not known yet.
-    fn cut(&mut self) {
+    /// Retires the current boot and cuts the limit for the next one.
+    fn retire_boot(&mut self) {
         self.generation += 1;
         self.answers = 0;
         self.load = None;
-        self.held = None;
+        self.saved = None;
         self.confirm = true;
-        self.firsts = 0;
+        self.first_count = 0;
         let Some(boot) = self.boot.take() else { return };
-        if self.retired.len() == RETIRED {
+        if self.retired.len() == MAX_RETIRED {
             self.retired.remove(0);
         }
         self.retired.push(boot);
     }
 
-    fn hold(&self, boot: BootId) -> Held {
-        Held {
+    fn save(&self, boot: BootId) -> SavedBoot {
+        SavedBoot {
             boot,
             answers: self.answers,
             load: self.load,
@@ -487,25 +490,25 @@
         }
     }
 
-    /// Restores the boot before a broken connection, if an attempt sent after that shows it.
-    fn revive(&mut self, now: Moment, boot: BootId, generation: u32) {
-        let Some(held) = self.held else { return };
-        if held.boot != boot || generation != self.generation {
+    /// Restores the boot before a broken connection, if an attempt sent later carries it.
+    fn restore_boot(&mut self, now: Moment, boot: BootId, generation: u32) {
+        let Some(saved) = self.saved else { return };
+        if saved.boot != boot || generation != self.generation {
             return;
         }
-        self.held = None;
+        self.saved = None;
         self.retired.retain(|b| *b != boot);
         self.boot = Some(boot);
-        self.answers = held.answers;
-        self.load = held.load;
-        self.confirm = held.confirm;
-        let broken = std::mem::take(&mut self.broken);
-        self.haunt(now, broken);
+        self.answers = saved.answers;
+        self.load = saved.load;
+        self.confirm = saved.confirm;
+        let broken = std::mem::take(&mut self.broken_count);
+        self.add_untracked(now, broken);
     }
 
-    /// Answers of the present boot by its load reports. They may count the same answers as the
-    /// outcomes, so the two are never added up.
-    fn reported(&self) -> u32 {
+    /// Answers of the current boot according to load reports. They may include the same answers as
+    /// the outcomes, so the two are never added.
+    fn reported_answers(&self) -> u32 {
         let load = self.load.filter(|_| self.confirm);
         load.filter(|(boot, _)| self.boot == Some(*boot))
             .map_or(0, |(_, answers)| answers)
@@ -517,9 +520,9 @@
 pub struct Load {
     /// Boot identity.
     pub boot: BootId,
-    /// Requests that run.
+    /// Running requests.
     pub running: u32,
-    /// Requests that the endpoint has queued.
+    /// Requests queued by the endpoint.
     pub waiting: u32,
     /// Answers since the boot.
     pub answers: u32,
--- a/cornelstand/src/fair.rs
+++ b/cornelstand/src/fair.rs
@@ -1,11 +1,11 @@
-//! Queues per client account and the weighted service counters that order them.
+//! Fair queueing: a queue per client account, ordered by weighted service counters.
 //!
-//! Each account has a counter of the service it got, as cost over share. The next request is of
-//! the backlogged account with the lowest counter; inside an account interactive requests go
-//! before batch ones, each in order of arrival. The cost of a request is known at its end only:
-//! an estimate is charged on the grant and corrected by progress reports and the outcome. An
-//! account that turns backlogged starts no lower than the lowest counter of the backlogged has
-//! been, so that no credit is saved up. `docs/design/fairness.md` states the bound on the service gap.
+//! Each account has a counter of the service it received, as cost over share. The next request is
+//! of the backlogged account with the lowest counter; inside an account interactive requests go
+//! before batch ones, each in order of arrival. The cost of a request is known only at its end:
+//! an estimate is charged on the grant and corrected by reports. An account that becomes backlogged
+//! starts at the highest minimum counter of the backlogged so far, so that idle time earns no
+//! credit. `docs/design/fairness.md` states the bound on the service gap.
 
 use std::collections::{BTreeSet, HashMap, HashSet};
 use std::time::Duration;
@@ -15,27 +15,27 @@
 use crate::name::{AccountName, AttemptId, EndpointName, InstanceName};
 
 /// Fixed-point units of a counter for one unit of cost at share 1.
-const UNITS: u64 = 1 << 16;
+const COUNTER_SCALE: u64 = 1 << 16;
 
 /// Largest cost that is charged for one request.
 const COST_LIMIT: u64 = 1 << 32;
 
-/// Weight of the latest outcome in the average cost of an account is one over this.
+/// Inverse weight of the latest outcome in the average cost of an account.
 const AVERAGE_WEIGHT: u64 = 8;
 
-/// Estimates of one account that batch work may be passed over for while interactive work waits.
-const PATIENCE: u64 = 4;
+/// How far batch work may fall behind queued interactive work, in average calls of its account.
+const BATCH_SLACK: u64 = 4;
 
 /// Index of an account in the queue.
 #[derive(Clone, Copy, Debug, Eq, Hash, Ord, PartialEq, PartialOrd)]
 pub(crate) struct AccountId(u32);
 
-/// Place of a backlogged account in the order of service.
+/// Sort key of a backlogged account in the service order.
 #[derive(Clone, Copy, Debug, Eq, Ord, PartialEq, PartialOrd)]
 struct Rank {
     service: u64,
-    /// Number of the account's latest grant, which settles ties for the one served longest ago.
-    turn: u64,
+    /// Sequence number of the account's latest grant. Ties go to the least recently served.
+    last_grant: u64,
     id: AccountId,
 }
 
@@ -44,27 +44,27 @@
     name: AccountName,
     share: u32,
     service: u64,
-    /// Service that this cell gave, modulo 2^64.
+    /// Service given by this cell, modulo 2^64.
     given: u64,
-    turn: u64,
+    last_grant: u64,
     average: u64,
     running: u32,
-    /// Average time between grants.
-    pace: Duration,
+    /// Moving average of the time between grants.
+    grant_interval: Duration,
     granted: Moment,
-    interactive: BTreeSet<Place>,
-    batch: BTreeSet<Place>,
+    interactive: BTreeSet<QueueKey>,
+    batch: BTreeSet<QueueKey>,
 }
 
-/// Place of a request in its account's queue: arrival in microseconds, then the attempt.
-type Place = (i64, AttemptId);
+/// Sort key of a request in its account's queue: arrival in microseconds, then the attempt.
+type QueueKey = (i64, AttemptId);
 
 /// A request that waits for a grant.
 #[derive(Clone, Debug)]
 pub(crate) struct Waiting {
     pub(crate) account: AccountId,
     pub(crate) class: Class,
-    /// When the request came to the fleet, which may lie before the process started.
+    /// When the request reached the fleet; negative if before this process started.
     pub(crate) arrival: i64,
     pub(crate) deadline: Moment,
     pub(crate) hint: Option<u64>,
@@ -72,7 +72,7 @@
     pub(crate) avoid: Vec<EndpointName>,
 }
 
-/// Numbers of one account for the status.
+/// Snapshot of one account for the status.
 #[derive(Debug)]
 pub(crate) struct AccountView<'a> {
     pub(crate) name: &'a AccountName,
@@ -94,12 +94,12 @@
     urgent: BTreeSet<Rank>,
     waiting: HashMap<AttemptId, Waiting>,
     deadlines: BTreeSet<(Moment, AttemptId)>,
-    /// Highest that the lowest counter of the backlogged has been, from which an account that
-    /// turns backlogged starts. Refunds lower counters, but not this.
+    /// Highest minimum counter of the backlogged accounts so far, at which an account that becomes
+    /// backlogged starts. Refunds lower counters, but not this.
     floor: u64,
-    /// Accounts whose counters an earlier owner left, until they turn backlogged here.
+    /// Accounts with counters restored from an earlier owner, until they become backlogged here.
     restored: HashSet<AccountId>,
-    turns: u64,
+    grants: u64,
     estimate: u64,
 }
 
@@ -114,12 +114,12 @@
             deadlines: BTreeSet::new(),
             floor: 0,
             restored: HashSet::new(),
-            turns: 0,
+            grants: 0,
             estimate: estimate.clamp(1, COST_LIMIT),
         }
     }
 
-    /// The account of that name, created idle if it is new.
+    /// Returns the account of that name, creating it idle if it is new.
     pub(crate) fn account(&mut self, name: &AccountName, share: u32) -> AccountId {
         if let Some(&id) = self.ids.get(name) {
             return id;
@@ -131,10 +131,10 @@
             share: share.max(1),
             service: 0,
             given: 0,
-            turn: 0,
+            last_grant: 0,
             average: self.estimate,
             running: 0,
-            pace: Duration::ZERO,
+            grant_interval: Duration::ZERO,
             granted: Moment::default(),
             interactive: BTreeSet::new(),
             batch: BTreeSet::new(),
@@ -148,8 +148,8 @@
         self.rank(id);
     }
 
-    /// Sets the counter and the average of an account, as an earlier owner left them. It keeps the
-    /// counter when its requests come back.
+    /// Restores the counter and the average of an account from an earlier owner. The counter is not
+    /// raised to the floor when its requests are offered again.
     pub(crate) fn restore(&mut self, id: AccountId, service: u64, average: u64) {
         self.unrank(id);
         let account = self.at_mut(id);
@@ -159,7 +159,7 @@
         self.rank(id);
     }
 
-    /// Treats accounts that have not come back since [`Self::restore`] as idle.
+    /// Treats accounts without a request since [`Self::restore`] as idle.
     pub(crate) fn forget_restored(&mut self) {
         self.restored.clear();
     }
@@ -211,24 +211,24 @@
             let account = self.at_mut(id);
             account.service = account.service.max(floor);
         }
-        let place = (waiting.arrival, attempt);
-        self.line(id, waiting.class).insert(place);
+        let key = (waiting.arrival, attempt);
+        self.class_queue(id, waiting.class).insert(key);
         self.deadlines.insert((waiting.deadline, attempt));
         self.waiting.insert(attempt, waiting);
         self.rank(id);
     }
 
-    /// Takes a request out without serving it.
+    /// Removes a request without serving it.
     pub(crate) fn remove(&mut self, attempt: AttemptId) -> Option<Waiting> {
         let waiting = self.waiting.remove(&attempt)?;
         let id = waiting.account;
         self.deadlines.remove(&(waiting.deadline, attempt));
         self.unrank(id);
-        let line = self.line(id, waiting.class);
-        line.remove(&(waiting.arrival, attempt));
-        if line.is_empty() {
-            // A set that was emptied keeps its root node, which idle accounts would pay for.
-            *line = BTreeSet::new();
+        let requests = self.class_queue(id, waiting.class);
+        requests.remove(&(waiting.arrival, attempt));
+        if requests.is_empty() {
+            // An emptied set keeps its root node, which would cost memory for each idle account.
+            *requests = BTreeSet::new();
         }
         self.rank(id);
         Some(waiting)
@@ -236,37 +236,37 @@
 
     /// The request to serve next.
     ///
-    /// Interactive requests pass batch work of an account that lags behind by no more than
-    /// [`PATIENCE`] of its average calls.
+    /// Interactive requests go before batch work of an account whose counter is lower by at most
+    /// [`BATCH_SLACK`] of its average calls.
     pub(crate) fn next(&self) -> Option<AttemptId> {
         let first = self.backlogged.first()?;
         let account = self.at(first.id);
         if let Some((_, attempt)) = account.interactive.first() {
             return Some(*attempt);
         }
-        let slack = units(PATIENCE * account.average, account.share);
+        let slack = units(BATCH_SLACK * account.average, account.share);
         let urgent = self.urgent.first();
         let account = urgent
             .filter(|u| u.service <= first.service.saturating_add(slack))
             .map_or(account, |u| self.at(u.id));
-        let mut line = account.interactive.iter().chain(&account.batch);
-        line.next().map(|(_, attempt)| *attempt)
+        let mut requests = account.interactive.iter().chain(&account.batch);
+        requests.next().map(|(_, attempt)| *attempt)
     }
 
-    /// Takes a request out and charges its estimate, which is returned.
+    /// Removes a request and charges its estimated cost, which is returned.
     pub(crate) fn serve(&mut self, now: Moment, attempt: AttemptId) -> Option<(Waiting, u64)> {
         let id = self.waiting.get(&attempt)?.account;
-        self.turns += 1;
-        let turn = self.turns;
+        self.grants += 1;
+        let last_grant = self.grants;
         let waiting = self.remove(attempt)?;
         self.unrank(id);
         let account = self.at_mut(id);
-        account.turn = turn;
+        account.last_grant = last_grant;
         let gap = now.since(account.granted);
-        account.pace = if account.granted == Moment::default() {
+        account.grant_interval = if account.granted == Moment::default() {
             gap
         } else {
-            (account.pace * 7 + gap) / 8
+            (account.grant_interval * 7 + gap) / 8
         };
         account.granted = now;
         let charge = waiting.hint.unwrap_or(0).max(account.average);
@@ -282,7 +282,7 @@
         self.correct(id, 0, cost);
     }
 
-    /// Counts a request as running whose cost is charged already.
+    /// Counts a request as running whose cost is already charged.
     pub(crate) fn count(&mut self, id: AccountId) {
         self.at_mut(id).running += 1;
     }
@@ -306,7 +306,7 @@
         self.rank(id);
     }
 
-    /// Service that this cell gave to the account, modulo 2^64.
+    /// Service given to the account by this cell, modulo 2^64.
     pub(crate) fn given(&self, id: AccountId) -> u64 {
         self.at(id).given
     }
@@ -319,15 +319,15 @@
         self.backlogged.iter().map(|rank| rank.id)
     }
 
-    /// Counts a request as ended, with `charged` replaced by its real cost.
+    /// Counts a request as ended, and replaces the charge by its actual cost.
     pub(crate) fn finish(&mut self, id: AccountId, charged: u64, cost: u64) {
         let account = self.at_mut(id);
         account.running = account.running.saturating_sub(1);
         self.correct(id, charged, cost);
     }
 
-    /// Takes the cost of a whole answer into the account's average.
-    pub(crate) fn learn(&mut self, id: AccountId, cost: u64) {
+    /// Updates the account's average with the cost of a complete answer.
+    pub(crate) fn update_average(&mut self, id: AccountId, cost: u64) {
         let account = self.at_mut(id);
         let sum = account.average * (AVERAGE_WEIGHT - 1) + cost.min(COST_LIMIT);
         account.average = (sum / AVERAGE_WEIGHT).max(1);
@@ -342,10 +342,10 @@
             .collect()
     }
 
-    /// Time in which a quarter of the account's queue is served at its latest pace.
-    pub(crate) fn drain(&self, id: AccountId) -> Duration {
+    /// Estimated time to serve a quarter of the account's queue.
+    pub(crate) fn drain_time(&self, id: AccountId) -> Duration {
         let quarter = u32::try_from(self.waiting_of(id).div_ceil(4)).unwrap_or(u32::MAX);
-        self.at(id).pace.saturating_mul(quarter)
+        self.at(id).grant_interval.saturating_mul(quarter)
     }
 
     pub(crate) fn views(&self) -> impl Iterator<Item = AccountView<'_>> {
@@ -364,7 +364,7 @@
         (0..u32::try_from(self.accounts.len()).unwrap_or(u32::MAX)).map(AccountId)
     }
 
-    /// Counter that an account that turns backlogged starts from.
+    /// Lowest counter of an account that becomes backlogged.
     pub(crate) fn floor(&self) -> u64 {
         self.floor
     }
@@ -377,7 +377,7 @@
         &mut self.accounts[id.0 as usize]
     }
 
-    fn line(&mut self, id: AccountId, class: Class) -> &mut BTreeSet<Place> {
+    fn class_queue(&mut self, id: AccountId, class: Class) -> &mut BTreeSet<QueueKey> {
         let account = self.at_mut(id);
         match class {
             Class::Interactive => &mut account.interactive,
@@ -385,25 +385,25 @@
         }
     }
 
-    fn place(&self, id: AccountId) -> Rank {
+    fn rank_of(&self, id: AccountId) -> Rank {
         let account = self.at(id);
         Rank {
             service: account.service,
-            turn: account.turn,
+            last_grant: account.last_grant,
             id,
         }
     }
 
-    /// Takes the account out of the order before one of its numbers changes.
+    /// Removes the account from the service order, before part of its sort key changes.
     fn unrank(&mut self, id: AccountId) {
-        let rank = self.place(id);
+        let rank = self.rank_of(id);
         self.backlogged.remove(&rank);
         self.urgent.remove(&rank);
     }
 
-    /// Puts the account back into the order if it is backlogged.
+    /// Puts the account back into the service order if it is backlogged.
     fn rank(&mut self, id: AccountId) {
-        let rank = self.place(id);
+        let rank = self.rank_of(id);
         if self.waiting_of(id) > 0 {
             self.backlogged.insert(rank);
         }
@@ -415,7 +415,7 @@
     }
 }
 
-/// Arrival of a request that has waited for `waited` by `now`.
+/// Arrival time, in microseconds, of a request that has waited for `waited` at `now`.
 pub(crate) fn arrival(now: Moment, waited: Duration) -> i64 {
     let now = i64::try_from(now.0).unwrap_or(i64::MAX);
     now.saturating_sub(i64::try_from(micros(waited)).unwrap_or(i64::MAX))
@@ -423,5 +423,5 @@
 
 /// Counter units of `cost` at `share`.
 pub(crate) fn units(cost: u64, share: u32) -> u64 {
-    cost.saturating_mul(UNITS) / u64::from(share.max(1))
+    cost.saturating_mul(COUNTER_SCALE) / u64::from(share.max(1))
 }
--- a/cornelstand/src/probe.rs
+++ b/cornelstand/src/probe.rs
@@ -1,28 +1,28 @@
-//! Bad outcomes of one endpoint, and the backoff between its probes once it is suspect.
+//! Consecutive failures of one endpoint, and the backoff between probes once it is suspect.
 
 use std::time::Duration;
 
 use crate::moment::Moment;
 use crate::name::InstanceName;
 
-/// Bad outcomes without an answer between them that make an endpoint suspect.
-const STRIKES: u32 = 3;
+/// Consecutive failures that make an endpoint suspect.
+const MAX_FAILURES: u32 = 3;
 
-/// Shortest time between counted bad outcomes that one entry reports.
-const STRIKE_GAP: Duration = Duration::from_millis(250);
+/// Minimum time between two counted failures reported by the same entry.
+const FAILURE_GAP: Duration = Duration::from_millis(250);
 
-/// Shortest time between probes of a suspect endpoint.
-const PROBE_FIRST: Duration = Duration::from_millis(500);
+/// Initial backoff between probes of a suspect endpoint.
+const BACKOFF_MIN: Duration = Duration::from_millis(500);
 
-/// Longest time between probes of a suspect endpoint.
-const PROBE_LAST: Duration = Duration::from_secs(10);
+/// Maximum backoff between probes of a suspect endpoint.
+const BACKOFF_MAX: Duration = Duration::from_secs(10);
 
-/// Bad outcomes since the latest answer.
+/// Failures since the latest answer, and the time of the next probe.
 #[derive(Debug)]
 pub(crate) struct Probe {
-    strikes: u32,
-    striker: Option<InstanceName>,
-    struck: Moment,
+    failures: u32,
+    reporter: Option<InstanceName>,
+    last_failure: Moment,
     backoff: Duration,
     due: Moment,
 }
@@ -30,16 +30,16 @@
 impl Probe {
     pub(crate) fn new() -> Self {
         Self {
-            strikes: 0,
-            striker: None,
-            struck: Moment::default(),
-            backoff: PROBE_FIRST,
+            failures: 0,
+            reporter: None,
+            last_failure: Moment::default(),
+            backoff: BACKOFF_MIN,
             due: Moment::default(),
         }
     }
 
     pub(crate) fn is_suspect(&self) -> bool {
-        self.strikes >= STRIKES
+        self.failures >= MAX_FAILURES
     }
 
     /// When the next probe may start.
@@ -47,10 +47,10 @@
         self.due
     }
 
-    /// Takes in a sign that the endpoint works.
+    /// Resets the failures and the backoff after an answer.
     pub(crate) fn clear(&mut self) {
-        self.strikes = 0;
-        self.backoff = PROBE_FIRST;
+        self.failures = 0;
+        self.backoff = BACKOFF_MIN;
     }
 
     /// Lets the next probe start now, because the endpoint has restarted.
@@ -58,30 +58,30 @@
         self.due = self.due.min(now);
     }
 
-    /// Counts a bad outcome, but not at once another of the same entry, whose own network may be
-    /// the cause.
-    pub(crate) fn strike(&mut self, now: Moment, entry: Option<&InstanceName>) {
-        let again = entry.is_some() && self.striker.as_ref() == entry;
-        if again && now < self.struck.after(STRIKE_GAP) {
+    /// Counts a failure. Another of the same entry within [`FAILURE_GAP`] is ignored, as that
+    /// entry's own network may be the cause.
+    pub(crate) fn record_failure(&mut self, now: Moment, entry: Option<&InstanceName>) {
+        let same_entry = entry.is_some() && self.reporter.as_ref() == entry;
+        if same_entry && now < self.last_failure.after(FAILURE_GAP) {
             return;
         }
-        self.striker = entry.cloned();
-        self.struck = now;
-        self.strikes = self.strikes.saturating_add(1);
-        if self.strikes == STRIKES {
-            self.delay(now);
+        self.reporter = entry.cloned();
+        self.last_failure = now;
+        self.failures = self.failures.saturating_add(1);
+        if self.failures == MAX_FAILURES {
+            self.schedule(now);
         }
     }
 
     /// Counts a grant, which is a probe if the endpoint is suspect.
     pub(crate) fn start(&mut self, now: Moment) {
         if self.is_suspect() {
-            self.delay(now);
+            self.schedule(now);
         }
     }
 
-    fn delay(&mut self, now: Moment) {
+    fn schedule(&mut self, now: Moment) {
         self.due = now.after(self.backoff);
-        self.backoff = (self.backoff * 2).min(PROBE_LAST);
+        self.backoff = (self.backoff * 2).min(BACKOFF_MAX);
     }
 }
--- a/cornelstand/tests/decide/driver.rs
+++ b/cornelstand/tests/decide/driver.rs
@@ -1,7 +1,7 @@
-//! Runs a cell against simple engines in its own time and checks it after each input.
+//! Runs a cell against simulated engines in virtual time and checks it after each input.
 //!
-//! One unit of cost takes an engine one millisecond. Engines count what they run, so that a limit
-//! that the cell gets wrong shows where it matters.
+//! One unit of cost takes an engine one millisecond. Engines count their running requests, so that
+//! a wrong limit in the cell shows as an overload.
 
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BTreeSet, BinaryHeap};
@@ -15,30 +15,30 @@
 
 use crate::make::{Size, at, attempt, cell, cell_id, config, ended, lease, offer};
 
-/// Time that a report takes to the cell.
+/// Delay of a report to the cell.
 const REPORT_MS: u64 = 1;
 
-/// Time that a lost outcome takes until it is repeated.
+/// Delay until a lost outcome is repeated.
 const REPEAT_MS: u64 = 400;
 
 /// Time between progress reports.
 const PROGRESS_MS: u64 = 100;
 
-/// Time until an attempt shows the boot of its engine.
+/// Time until an attempt reports the boot of its engine.
 const FIRST_MS: u64 = 5;
 
-/// Time that an engine refuses connections when it restarts: longer than a boot counts as proven
-/// and a lost outcome takes to arrive.
+/// Time that a restarting engine refuses connections. Longer than the time that a boot stays proven
+/// plus the delay of a lost outcome.
 const DOWN_MS: u64 = 1000;
 
-/// Timers further away are left out.
+/// Timers further ahead are ignored.
 const HORIZON_MS: u64 = 120_000;
 
 /// Time between load reports.
 const LOAD_MS: u64 = 1000;
 
 /// Units of a counter for one unit of cost at share 1, as the status gives it.
-const UNITS: u64 = 65_536;
+const COUNTER_SCALE: u64 = 65_536;
 
 /// One request of an account.
 #[derive(Clone, Debug)]
@@ -48,15 +48,15 @@
     pub(crate) class: Class,
     pub(crate) cost: u64,
     pub(crate) hint: Option<u64>,
-    /// Time after which the caller goes.
+    /// Time after which the caller disconnects.
     pub(crate) cancel: Option<u64>,
-    /// Whether the outcome is lost at first.
+    /// Whether the first report of the outcome is lost.
     pub(crate) lost: bool,
-    /// Whether the outcome comes twice.
+    /// Whether the outcome is reported twice.
     pub(crate) twice: bool,
 }
 
-/// A whole run.
+/// Plan of a simulation run.
 #[derive(Clone, Debug)]
 pub(crate) struct Plan {
     pub(crate) shares: Vec<u32>,
@@ -76,7 +76,7 @@
     pub(crate) at: u64,
     /// Whether the earlier owner hands over.
     pub(crate) planned: bool,
-    /// Time until the entry reports what it runs.
+    /// Delay until the entry lists its running attempts.
     pub(crate) census: u64,
 }
 
@@ -84,10 +84,10 @@
 enum Step {
     Offer(usize),
     Cancel(usize),
-    First(usize, u64),
+    FirstByte(usize, u64),
     Progress(usize, u64),
     Finish(usize, u64),
-    Deliver(usize, Arrival),
+    Deliver(usize, ReportData),
     Up(usize, u64),
     Restart(usize),
     Sample(usize),
@@ -98,7 +98,7 @@
 }
 
 #[derive(Clone, Copy, Debug, Eq, Ord, PartialEq, PartialOrd)]
-struct Arrival {
+struct ReportData {
     cost: u64,
     boot: Option<u64>,
     ending: Option<u8>,
@@ -116,12 +116,12 @@
     up: bool,
     answers: u32,
     running: Vec<usize>,
-    /// First request of the boot, until the engine is full.
+    /// Start of the first request of the boot, until the engine is full.
     began: Option<u64>,
 }
 
 impl Engine {
-    fn bears(&self) -> u32 {
+    fn capacity(&self) -> u32 {
         let Size { cold, warm, ramp } = self.size;
         if self.answers >= ramp {
             return warm;
@@ -137,22 +137,22 @@
     average: u64,
 }
 
-/// What a run came to.
+/// Result of a run.
 #[derive(Debug, Default)]
 pub(crate) struct Outcome {
     /// Waiting time of each granted job, by job.
     pub(crate) waits: BTreeMap<usize, u64>,
-    /// Largest gap between the counters of two backlogged accounts over its bound, in percent.
+    /// Largest gap between the counters of two backlogged accounts, in percent of its bound.
     pub(crate) gap_percent: u64,
-    /// Time from the first request of a boot until the engine was full with its warm number.
+    /// Time from the first request of a boot until the engine was full at its warm limit.
     pub(crate) ramps: Vec<u64>,
-    /// Time and engine of each request above what the engine bore.
+    /// Time and engine of each request beyond the engine's capacity.
     pub(crate) excess: Vec<(u64, usize)>,
-    /// Times that work waited beside a slot that the cell held to be free.
+    /// Number of inputs after which offers waited although the cell counted a free slot.
     pub(crate) idle: u32,
     /// Jobs refused because their queue was full.
-    pub(crate) full: usize,
-    /// Account, start and end of what engines ran.
+    pub(crate) queue_full: usize,
+    /// Account, start and end of each completed request.
     pub(crate) spans: Vec<(usize, u64, u64)>,
     /// When the last job ended.
     pub(crate) end: u64,
@@ -168,14 +168,14 @@
     steps: BinaryHeap<Reverse<(u64, u64, Step)>>,
     engines: Vec<Engine>,
     grants: BTreeMap<usize, Grant>,
-    /// Start of each job that an engine runs.
-    open: BTreeMap<usize, u64>,
-    /// Jobs that are offered and neither granted nor refused.
+    /// Start of each job that is running at an engine.
+    started: BTreeMap<usize, u64>,
+    /// Jobs offered and neither granted nor refused.
     waiting: BTreeSet<usize>,
-    /// Jobs whose end the cell has not heard of.
-    flying: BTreeSet<usize>,
+    /// Granted jobs whose outcome has not reached the cell.
+    unreported: BTreeSet<usize>,
     peaks: Vec<Peak>,
-    out: Outcome,
+    outcome: Outcome,
 }
 
 impl Driver {
@@ -196,11 +196,11 @@
             steps: BinaryHeap::new(),
             engines: engines.collect(),
             grants: BTreeMap::new(),
-            open: BTreeMap::new(),
+            started: BTreeMap::new(),
             waiting: BTreeSet::new(),
-            flying: BTreeSet::new(),
+            unreported: BTreeSet::new(),
             peaks: vec![Peak::default(); plan.shares.len()],
-            out: Outcome::default(),
+            outcome: Outcome::default(),
             plan,
         };
         for job in 0..driver.plan.jobs.len() {
@@ -224,8 +224,8 @@
             self.now = at;
             self.step(step);
         }
-        self.out.status = Some(self.cell.status());
-        self.out
+        self.outcome.status = Some(self.cell.status());
+        self.outcome
     }
 
     fn push(&mut self, at: u64, step: Step) {
@@ -243,10 +243,10 @@
         match step {
             Step::Offer(job) => self.offer(job),
             Step::Cancel(job) => self.cancel(job),
-            Step::First(job, boot) => self.first(job, boot),
+            Step::FirstByte(job, boot) => self.first_byte(job, boot),
             Step::Progress(job, cost) => self.progress(job, cost),
             Step::Finish(job, boot) => self.finish(job, boot),
-            Step::Deliver(job, arrival) => self.deliver(job, arrival),
+            Step::Deliver(job, data) => self.deliver(job, data),
             Step::Up(engine, boot) => {
                 let engine = &mut self.engines[engine];
                 engine.up |= engine.boot == boot;
@@ -269,7 +269,7 @@
         }
     }
 
-    /// Another owner takes the cell, and the entry offers again what waits.
+    /// Moves the cell to another owner, after which the entry offers the waiting jobs again.
     fn take_over(&mut self, index: usize) {
         let Takeover {
             planned, census, ..
@@ -293,7 +293,7 @@
     }
 
     fn census(&mut self) {
-        let running = self.open.keys().map(|job| {
+        let running = self.started.keys().map(|job| {
             let account = self.plan.jobs[*job].account;
             Running {
                 attempt: attempt(*job as u128),
@@ -327,77 +327,77 @@
         self.send(CellInput::Offer(offer));
     }
 
-    /// The caller goes: its entry withdraws the offer, or ends the attempt.
+    /// Disconnects the caller: its entry withdraws the offer or ends the attempt.
     fn cancel(&mut self, job: usize) {
         if !self.grants.contains_key(&job) {
             self.send(CellInput::Withdraw(attempt(job as u128)));
-        } else if let Some(start) = self.open.remove(&job) {
+        } else if let Some(start) = self.started.remove(&job) {
             let cost = self.now - start;
-            self.leave(job);
-            self.outcome(job, cost, None, CANCELLED);
+            self.remove_running(job);
+            self.report_outcome(job, cost, None, CANCELLED);
         }
     }
 
-    fn leave(&mut self, job: usize) {
+    fn remove_running(&mut self, job: usize) {
         for engine in &mut self.engines {
             engine.running.retain(|j| *j != job);
         }
     }
 
-    fn first(&mut self, job: usize, boot: u64) {
-        if self.open.contains_key(&job) {
-            let arrival = Arrival {
+    fn first_byte(&mut self, job: usize, boot: u64) {
+        if self.started.contains_key(&job) {
+            let data = ReportData {
                 cost: 0,
                 boot: Some(boot),
                 ending: None,
             };
-            self.push(self.now + REPORT_MS, Step::Deliver(job, arrival));
+            self.push(self.now + REPORT_MS, Step::Deliver(job, data));
         }
     }
 
     fn progress(&mut self, job: usize, cost: u64) {
-        if self.open.contains_key(&job) {
-            let arrival = Arrival {
+        if self.started.contains_key(&job) {
+            let data = ReportData {
                 cost,
                 boot: None,
                 ending: None,
             };
-            self.push(self.now + REPORT_MS, Step::Deliver(job, arrival));
+            self.push(self.now + REPORT_MS, Step::Deliver(job, data));
             let next = self.now + PROGRESS_MS;
             self.push(next, Step::Progress(job, cost + PROGRESS_MS));
         }
     }
 
     fn finish(&mut self, job: usize, boot: u64) {
-        let Some(start) = self.open.remove(&job) else {
+        let Some(start) = self.started.remove(&job) else {
             return;
         };
-        self.leave(job);
+        self.remove_running(job);
         let account = self.plan.jobs[job].account;
-        self.out.spans.push((account, start, self.now));
+        self.outcome.spans.push((account, start, self.now));
         let engine = self.engines.iter_mut().find(|e| e.boot == boot);
         engine.expect("an engine of that boot").answers += 1;
         let cost = self.plan.jobs[job].cost;
-        self.outcome(job, cost, Some(boot), ANSWERED);
+        self.report_outcome(job, cost, Some(boot), ANSWERED);
     }
 
-    /// Sends the outcome, late if it is lost at first and again if it comes twice.
-    fn outcome(&mut self, job: usize, cost: u64, boot: Option<u64>, ending: u8) {
+    /// Schedules the report of the outcome: late if the first one is lost, and again if it repeats.
+    fn report_outcome(&mut self, job: usize, cost: u64, boot: Option<u64>, ending: u8) {
         let ending = Some(ending);
-        let arrival = Arrival { cost, boot, ending };
+        let data = ReportData { cost, boot, ending };
         let planned = &self.plan.jobs[job];
         let (lost, twice) = (planned.lost, planned.twice);
         let at = self.now + if lost { REPEAT_MS } else { REPORT_MS };
-        self.push(at, Step::Deliver(job, arrival));
+        self.push(at, Step::Deliver(job, data));
         if twice {
-            self.push(at + REPEAT_MS, Step::Deliver(job, arrival));
+            self.push(at + REPEAT_MS, Step::Deliver(job, data));
         }
     }
 
-    fn deliver(&mut self, job: usize, arrival: Arrival) {
+    fn deliver(&mut self, job: usize, data: ReportData) {
         let grant = &self.grants[&job];
         let account = format!("a{}", self.plan.jobs[job].account);
-        let phase = arrival.ending.map_or(Phase::Running, |ending| {
+        let phase = data.ending.map_or(Phase::Running, |ending| {
             Phase::Ended(match ending {
                 ANSWERED => Ending::Answered,
                 BROKEN => Ending::Broken,
@@ -406,15 +406,15 @@
             })
         });
         let report = Report {
-            cost: arrival.cost,
-            boot: arrival.boot.map(BootId),
+            cost: data.cost,
+            boot: data.boot.map(BootId),
             phase,
             ..ended(grant, &account, 0, Ending::Answered)
         };
         if phase != Phase::Running {
-            self.flying.remove(&job);
+            self.unreported.remove(&job);
         }
-        self.out.end = self.now;
+        self.outcome.end = self.now;
         self.send(CellInput::Report(report));
     }
 
@@ -429,8 +429,8 @@
         let boot = engine.boot;
         self.push(self.now + DOWN_MS, Step::Up(index, boot));
         for job in broken {
-            if let Some(start) = self.open.remove(&job) {
-                self.outcome(job, self.now - start, None, BROKEN);
+            if let Some(start) = self.started.remove(&job) {
+                self.report_outcome(job, self.now - start, None, BROKEN);
             }
         }
     }
@@ -455,7 +455,7 @@
             match output {
                 CellOutput::Grant(grant) => self.grant(grant),
                 CellOutput::Refuse { attempt, refusal } => self.refuse(attempt, &refusal),
-                CellOutput::Changed { .. } | CellOutput::Tell(_) => {}
+                CellOutput::Changed { .. } | CellOutput::Totals(_) => {}
             }
         }
         let due = self.cell.timer();
@@ -472,7 +472,7 @@
     fn refuse(&mut self, attempt: AttemptId, refusal: &Refusal) {
         self.waiting.remove(&job_of(attempt));
         if let Refusal::QueueFull { .. } = refusal {
-            self.out.full += 1;
+            self.outcome.queue_full += 1;
         } else {
             assert_eq!(*refusal, Refusal::Cancelled);
         }
@@ -482,33 +482,35 @@
         let job = job_of(grant.attempt);
         self.waiting.remove(&job);
         let number: usize = grant.endpoint.as_str()[1..].parse().expect("a number");
-        self.out
+        self.outcome
             .waits
             .insert(job, self.now - self.plan.jobs[job].at);
         let known = self.grants.insert(job, grant);
         assert_eq!(known, None, "a job is granted once");
-        self.flying.insert(job);
+        self.unreported.insert(job);
         let engine = &mut self.engines[number];
         if !engine.up {
-            self.outcome(job, 0, None, NOT_SENT);
+            self.report_outcome(job, 0, None, NOT_SENT);
             return;
         }
         engine.running.push(job);
         let running = u32::try_from(engine.running.len()).expect("few");
-        if running > engine.bears() {
-            self.out.excess.push((self.now, number));
+        if running > engine.capacity() {
+            self.outcome.excess.push((self.now, number));
         }
         if running == 1 && engine.answers == 0 {
             engine.began = Some(self.now);
         }
         if running == engine.size.warm {
             let began = engine.began.take();
-            self.out.ramps.extend(began.map(|began| self.now - began));
+            self.outcome
+                .ramps
+                .extend(began.map(|began| self.now - began));
         }
         let boot = engine.boot;
         let cost = self.plan.jobs[job].cost;
-        self.open.insert(job, self.now);
-        self.push(self.now + FIRST_MS.min(cost), Step::First(job, boot));
+        self.started.insert(job, self.now);
+        self.push(self.now + FIRST_MS.min(cost), Step::FirstByte(job, boot));
         self.push(self.now + PROGRESS_MS, Step::Progress(job, PROGRESS_MS));
         self.push(self.now + cost, Step::Finish(job, boot));
     }
@@ -523,7 +525,7 @@
         let slots: u32 = status.endpoints.iter().map(|e| e.running).sum();
         assert_eq!(slots as usize, status.running);
         let free = status.endpoints.iter().any(|e| e.running < e.limit);
-        self.out.idle += u32::from(status.waiting > 0 && free);
+        self.outcome.idle += u32::from(status.waiting > 0 && free);
         // A change of owner shifts the counters once.
         if self.plan.takeovers.is_empty() {
             self.check_gap(&status);
@@ -533,7 +535,7 @@
     /// Compares the gap of each two backlogged accounts with its bound.
     fn check_gap(&mut self, status: &CellStatus) {
         let mut in_flight = vec![0; self.peaks.len()];
-        for job in &self.flying {
+        for job in &self.unreported {
             let planned = &self.plan.jobs[*job];
             in_flight[planned.account] += planned.cost.max(self.grants[job].charged);
         }
@@ -550,17 +552,18 @@
         for (f, high) in &backlogged {
             for (g, low) in backlogged.iter().filter(|(_, low)| low < high) {
                 let percent = (high - low) * 100 / self.bound(*f, *g);
-                self.out.gap_percent = self.out.gap_percent.max(percent);
+                self.outcome.gap_percent = self.outcome.gap_percent.max(percent);
             }
         }
     }
 
-    /// In-flight cost over share of both, and the patience of batch work.
+    /// Bound of the gap: in-flight cost over share of both accounts, plus the slack of batch work.
     fn bound(&self, f: usize, g: usize) -> u64 {
-        let over = |cost: u64, account: usize| cost * UNITS / u64::from(self.plan.shares[account]);
-        let patience = (0..self.peaks.len()).map(|a| over(4 * self.peaks[a].average, a));
+        let over =
+            |cost: u64, account: usize| cost * COUNTER_SCALE / u64::from(self.plan.shares[account]);
+        let slack = (0..self.peaks.len()).map(|a| over(4 * self.peaks[a].average, a));
         let flight = over(self.peaks[f].in_flight, f) + over(self.peaks[g].in_flight, g);
-        flight + patience.max().unwrap_or(0) + 2
+        flight + slack.max().unwrap_or(0) + 2
     }
 }
 
--- a/cornelstand/tests/decide/exchange.rs
+++ b/cornelstand/tests/decide/exchange.rs
@@ -1,4 +1,4 @@
-//! Two cells of one service that tell each other what service they gave.
+//! Tests of two cells of one service that exchange their service totals.
 
 use std::sync::Arc;
 
@@ -9,18 +9,18 @@
 
 use crate::make::{at, config, ended, flat, lease, offer, send};
 
-/// Length of a call.
+/// Duration of a call.
 const CALL_MS: u64 = 50;
 
-/// Calls that one cell ends in [`CALL_MS`].
+/// Concurrent calls of one cell.
 const SLOTS: u32 = 4;
 
-/// What becomes of the messages between the cells.
+/// Delivery of the messages between the cells.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Link {
     Down,
     Up,
-    /// One of three is lost, one comes twice.
+    /// Of three messages one is lost and one delivered twice.
     Lossy,
 }
 
@@ -65,13 +65,13 @@
                     let account = if even { "a0" } else { "a1" };
                     self.running.push((now + CALL_MS, cell, grant, account));
                 }
-                CellOutput::Tell(totals) => self.carry(now, 1 - cell, &totals),
+                CellOutput::Totals(totals) => self.deliver(now, 1 - cell, &totals),
                 other => panic!("unexpected {other:?}"),
             }
         }
     }
 
-    fn carry(&mut self, now: u64, to: usize, totals: &Totals) {
+    fn deliver(&mut self, now: u64, to: usize, totals: &Totals) {
         self.messages += 1;
         let copies = match (self.link, self.messages % 3) {
             (Link::Down, _) | (Link::Lossy, 0) => 0,
@@ -108,7 +108,7 @@
     }
 }
 
-/// One account has work at both cells, the other at the first only. Service over 20 s.
+/// Service over 20 s of an account with work at both cells and one with work at the first only.
 fn run(link: Link) -> [u64; 2] {
     let mut pair = Pair::new(link);
     for _ in 0..20 {
@@ -135,7 +135,7 @@
 }
 
 #[test]
-fn without_messages_each_cell_is_fair_for_itself() {
+fn without_messages_each_cell_is_fair_on_its_own() {
     let [first, second] = run(Link::Down);
     assert!(first > 2 * second, "{first} and {second}");
 }
--- a/cornelstand/tests/decide/ways.rs
+++ b/cornelstand/tests/decide/ways.rs
@@ -1,4 +1,4 @@
-//! Waits beside a flood of long batch work, and the ramp of an engine after a restart.
+//! Tests of waits under a flood of batch calls, of the ramp after a restart and of fair shares.
 
 use cornelstand::Class;
 use rand::{RngExt, SeedableRng};
@@ -60,7 +60,7 @@
     let mut waits: Vec<u64> = waits.map(|(_, wait)| wait).collect();
     waits.sort_unstable();
     let at = |percent: usize| waits[(waits.len() - 1) * percent / 100];
-    assert_eq!((outcome.idle, outcome.full), (0, 0));
+    assert_eq!((outcome.idle, outcome.queue_full), (0, 0));
     assert!(outcome.gap_percent <= 100);
     format!("{} {} {}", at(50), at(95), at(100))
 }
@@ -76,7 +76,7 @@
     ");
 }
 
-/// Time until an engine is full that gets a request of `cost` whenever it bears one more.
+/// Time until an engine is full if it gets a request of `cost` whenever it has capacity for one.
 fn fastest_ramp(size: Size, cost: u64) -> u64 {
     let mut ends: Vec<u64> = vec![cost; size.cold as usize];
     let mut answers = 0;
@@ -118,8 +118,8 @@
     }
 }
 
-/// Largest over smallest service by share, in thousandths, over all windows of 10 s in the steady
-/// state.
+/// Worst ratio of the largest to the smallest service per share, in thousandths, over all windows
+/// of 10 s in the steady state.
 fn worst_ratio(shares: &[u32], spans: &[(usize, u64, u64)], until: u64) -> u64 {
     const WINDOW_MS: u64 = 10_000;
     let service = |account: usize, from: u64| {
@@ -148,7 +148,7 @@
     let mut rng = ChaCha8Rng::seed_from_u64(SEED);
     let mut jobs = Vec::new();
     for (account, cost) in COSTS.iter().enumerate() {
-        // An eighth more than the account's share of 32 slots.
+        // The load is an eighth more than the account's share of 32 slots.
         let gap = 8 * cost * 8 / (32 * 9 * u64::from(SHARES[account]));
         for at in (0..30_000).step_by(usize::try_from(gap.max(1)).expect("small")) {
             let cost = rng.random_range(cost / 2..cost * 3 / 2);
