--- a/cornelstand/src/containment.rs
+++ b/cornelstand/src/containment.rs
@@ -1,7 +1,7 @@
-//! Containment of requests that crash endpoints, around the state machine of `suspect`.
+//! Containment of requests that crash endpoints, based on the state machine in `suspect`.
 //!
-//! What an instance learns is made known to its peers before the caller hears of it, so that the
-//! request is known wherever the caller sends it again.
+//! An instance shares a suspicion with its peers before it answers the caller, so that every
+//! instance recognizes the request if the caller sends it again.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -18,20 +18,20 @@
 use crate::name::{BootId, EndpointName, Fingerprint};
 use crate::suspect::{Crash, Standing, Suspicion, TrialPhase};
 
-/// Longest wait for the peers to take a suspicion in.
-const SPREAD: Duration = Duration::from_millis(500);
-/// Pause before a request asks again whether its trial may begin.
-const TURN: Duration = Duration::from_millis(50);
-/// Longest of these pauses, which double.
-const MAX_TURN: Duration = Duration::from_secs(1);
-/// Longest wait for an endpoint to say whether it has started again.
-const PROBE: Duration = Duration::from_millis(500);
-
-/// Tells all peers of a suspicion and returns what they know about the same request, as soon as
-/// all have answered or are found to be away.
+/// Timeout for sharing a suspicion with the peers.
+const SPREAD_TIMEOUT: Duration = Duration::from_millis(500);
+/// Initial backoff before a request checks again whether its trial may begin.
+const TRIAL_BACKOFF_MIN: Duration = Duration::from_millis(50);
+/// Maximum of this backoff, which doubles.
+const TRIAL_BACKOFF_MAX: Duration = Duration::from_secs(1);
+/// Timeout for asking an endpoint whether it has restarted.
+const PROBE_TIMEOUT: Duration = Duration::from_millis(500);
+
+/// Shares a suspicion with all peers and returns what they know about the same request, once
+/// each has answered or is found to be unreachable.
 pub type SpreadCall = Arc<dyn Fn(Suspicion) -> BoxFuture<'static, Vec<Suspicion>> + Send + Sync>;
 
-/// What a request may do.
+/// Result of the containment check of a request.
 pub(crate) enum Clearance {
     Go,
     Refused(Duration),
@@ -39,9 +39,9 @@
 }
 
 impl Call {
-    /// Waits until nothing speaks against an attempt, or a trial may begin.
+    /// Waits until the request is clear of suspicion, or its trial may begin.
     pub(crate) async fn clearance(&mut self, caller: &mut Caller) -> Result<Clearance, Gone> {
-        let mut pause = TURN;
+        let mut backoff = TRIAL_BACKOFF_MIN;
         loop {
             let now = self.core.clock.now();
             let standing = self.core.suspects().check(now, self.fingerprint);
@@ -55,10 +55,10 @@
                 return Ok(Clearance::Go);
             }
             tokio::select! {
-                () = sleep(pause) => {}
+                () = sleep(backoff) => {}
                 () = caller.gone() => return Err(Gone),
             }
-            pause = (pause * 2).min(MAX_TURN);
+            backoff = (backoff * 2).min(TRIAL_BACKOFF_MAX);
         }
     }
 
@@ -86,8 +86,8 @@
         false
     }
 
-    /// Takes the granted endpoint for the trial, if the request is on trial. Two trials of this
-    /// entry at one endpoint would make a crash count against both.
+    /// Reserves the granted endpoint if the request is on trial. Fails if another trial of this
+    /// entry holds it, as a crash would count against both.
     pub(crate) fn place_trial(&mut self, flight: &Flight) -> bool {
         let Some(trial) = &mut self.trial else {
             return true;
@@ -100,18 +100,18 @@
         is_free
     }
 
-    /// Finds out whether an attempt was lost because its endpoint crashed, and if so makes it
-    /// known before anything else happens with the request.
+    /// Checks whether an attempt was lost because its endpoint crashed, and if so shares the crash
+    /// with the peers before the request goes on.
     pub(crate) async fn examine(&self, leg: &Leg) {
-        let before = leg.flight.boot_before();
-        if !self.core.has_crashed(leg.address, before).await {
+        let last_boot = leg.flight.last_boot();
+        if !self.core.has_crashed(leg.address, last_boot).await {
             return;
         }
         let endpoint = leg.flight.grant().endpoint.clone();
         self.record("endpoint-crashed", endpoint.as_str());
         let crash = Crash {
             endpoint,
-            boot: before,
+            boot: last_boot,
         };
         let now = self.core.clock.now();
         self.core.metrics.crashes.inc();
@@ -119,7 +119,7 @@
         self.core.spread(self.fingerprint).await;
     }
 
-    /// Takes in a whole answer, which may clear the request.
+    /// Records a complete answer, which may clear the request.
     pub(crate) fn note_answer(&self, status: u16) {
         let now = self.core.clock.now();
         self.core.suspects().answer(now, self.fingerprint, status);
@@ -127,28 +127,28 @@
 }
 
 impl Core {
-    /// Tells the peers what is known about `request`, and takes in what they know.
+    /// Shares what is known about `request` with the peers, and merges what they know.
     async fn spread(&self, request: Fingerprint) {
-        let told = self.suspects().suspicion(self.clock.now(), request);
-        let Some(told) = told else {
+        let suspicion = self.suspects().suspicion(self.clock.now(), request);
+        let Some(suspicion) = suspicion else {
             return;
         };
-        let views = timeout(SPREAD, (self.spread)(told)).await;
+        let views = timeout(SPREAD_TIMEOUT, (self.spread)(suspicion)).await;
         self.learn(views.unwrap_or_default());
     }
 
-    /// Takes in what other instances know.
-    pub(crate) fn learn(&self, told: Vec<Suspicion>) {
+    /// Merges suspicions from other instances.
+    pub(crate) fn learn(&self, suspicions: Vec<Suspicion>) {
         let now = self.clock.now();
         let mut suspects = self.suspects();
-        for suspicion in told {
+        for suspicion in suspicions {
             suspects.merge(now, suspicion);
         }
     }
 
-    /// Tells whether an endpoint is down, or has started again since it showed `before`.
+    /// Whether an endpoint is down, or has restarted since it had the boot identity `before`.
     async fn has_crashed(&self, address: SocketAddr, before: Option<BootId>) -> bool {
-        match timeout(PROBE, self.upstreams.boot(address)).await {
+        match timeout(PROBE_TIMEOUT, self.upstreams.boot(address)).await {
             Ok(Ok(boot)) => boot != before,
             Ok(Err(error)) => error.is_connect(),
             Err(_) => false,
@@ -156,7 +156,7 @@
     }
 }
 
-/// The trial of a request, which ends with it.
+/// Guard of a trial. Dropping it ends the trial and releases its endpoint.
 pub(crate) struct TrialGuard {
     core: Arc<Core>,
     request: Fingerprint,
--- a/cornelstand/src/flight.rs
+++ b/cornelstand/src/flight.rs
@@ -1,7 +1,7 @@
-//! One granted attempt as its entry accounts for it.
+//! Accounting of one granted attempt at its entry.
 //!
-//! A [`Flight`] stands in the entry's ledger from the grant to the end, reports cost above the
-//! charge while it runs, and reports its ending once, also when its task is stopped.
+//! A [`Flight`] is listed in the entry's ledger from the grant to the end, reports cost above the
+//! charge while it runs, and reports its ending exactly once, also when its task is dropped.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -14,8 +14,8 @@
 use crate::moment::Moment;
 use crate::name::{AccountName, BootId};
 
-/// Least cost between two reports of progress, in the unit of the service's kind.
-const PROGRESS: u64 = 64;
+/// Minimum added cost between two progress reports, in the unit of the service's kind.
+const MIN_PROGRESS_COST: u64 = 64;
 
 /// A granted attempt that has not ended.
 pub(crate) struct Flight {
@@ -26,17 +26,17 @@
     start: Moment,
     reported: u64,
     cost: u64,
-    before: Option<BootId>,
+    known_boot: Option<BootId>,
     boot: Option<BootId>,
     first: Option<Duration>,
     ended: bool,
 }
 
 impl Flight {
-    /// Enters `grant` into the ledger.
+    /// Starts tracking `grant` in the ledger.
     pub(crate) fn begin(call: &Call, grant: Grant) -> Self {
         let core = call.core.clone();
-        let before = core.boot(&grant.endpoint);
+        let known_boot = core.boot(&grant.endpoint);
         let running = Running {
             attempt: grant.attempt,
             endpoint: grant.endpoint.clone(),
@@ -53,7 +53,7 @@
             reported: grant.charged,
             grant,
             cost: 0,
-            before,
+            known_boot,
             boot: None,
             first: None,
             ended: false,
@@ -65,7 +65,7 @@
         &self.grant
     }
 
-    /// Notes when sending began.
+    /// Records when sending began.
     pub(crate) fn sent(&mut self, now: Moment) {
         self.start = now;
     }
@@ -75,18 +75,18 @@
         now.since(self.start)
     }
 
-    /// Milliseconds that the attempt has held its slot, at least one.
+    /// Milliseconds since sending began, at least one.
     pub(crate) fn slot_millis(&self, now: Moment) -> u64 {
         let millis = self.slot(now).as_millis();
         u64::try_from(millis).unwrap_or(u64::MAX).max(1)
     }
 
-    /// Boot identity that the endpoint showed in this answer, or last before it.
-    pub(crate) fn boot_before(&self) -> Option<BootId> {
-        self.boot.or(self.before)
+    /// Boot identity from this answer, or else the latest known at the grant.
+    pub(crate) fn last_boot(&self) -> Option<BootId> {
+        self.boot.or(self.known_boot)
     }
 
-    /// Notes the head of the answer.
+    /// Records the boot identity from the head of the answer.
     pub(crate) fn head(&mut self, boot: Option<BootId>) {
         self.boot = boot;
         if let Some(boot) = boot {
@@ -94,17 +94,17 @@
         }
     }
 
-    /// Notes the first byte of the answer.
+    /// Records the time to the first byte of the answer.
     pub(crate) fn first_byte(&mut self, now: Moment) {
-        let after = now.since(self.start);
-        self.first.get_or_insert(after);
+        let elapsed = now.since(self.start);
+        self.first.get_or_insert(elapsed);
     }
 
-    /// Corrects the cost, and reports it once it is far enough above the last report.
+    /// Raises the cost, and reports it once it is well above the last report.
     pub(crate) fn progress(&mut self, cost: u64) {
         self.cost = self.cost.max(cost);
         self.core.ledger.progress(self.grant.attempt, self.cost);
-        if self.cost >= self.reported + PROGRESS.max(self.reported / 4) {
+        if self.cost >= self.reported + MIN_PROGRESS_COST.max(self.reported / 4) {
             self.reported = self.cost;
             self.report(Phase::Running);
         }
@@ -115,7 +115,7 @@
         self.finish(ending);
     }
 
-    /// Reports that nobody waits any more, and tells a model engine so.
+    /// Ends the attempt because the caller is gone, and sends a cancellation to a model endpoint.
     pub(crate) fn cancel(self, address: SocketAddr) {
         if self.kind == Kind::Model {
             self.core.cancel(address, self.grant.attempt);
