--- a/cornelstand/src/ledger.rs
+++ b/cornelstand/src/ledger.rs
@@ -1,6 +1,6 @@
-//! What an entry runs now.
+//! Running attempts of an entry.
 //!
-//! A new owner of a cell asks for it, and a planned stop waits until it is empty.
+//! A new owner of a cell requests the list, and a planned stop waits until it is empty.
 
 use std::collections::HashMap;
 use std::sync::{Mutex, MutexGuard, PoisonError};
@@ -8,14 +8,14 @@
 use crate::dispatch::{Census, Running};
 use crate::name::{AttemptId, CellId, InstanceName};
 
-/// Everything granted and not ended.
+/// Granted attempts that have not ended.
 #[derive(Debug, Default)]
 pub(crate) struct Ledger {
     running: Mutex<HashMap<AttemptId, (CellId, Running)>>,
 }
 
 impl Ledger {
-    /// Adds an attempt of `cell`.
+    /// Adds a running attempt of `cell`.
     pub(crate) fn begin(&self, cell: CellId, running: Running) {
         self.lock().insert(running.attempt, (cell, running));
     }
@@ -37,7 +37,7 @@
         self.lock().len()
     }
 
-    /// The attempts of `cell`, in the order of their identities.
+    /// The attempts of `cell`, ordered by identity.
     pub(crate) fn census(&self, entry: &InstanceName, cell: &CellId) -> Census {
         let mut running: Vec<Running> = self
             .lock()
