--- a/cornelstand/src/retry.rs
+++ b/cornelstand/src/retry.rs
@@ -1,9 +1,9 @@
-//! Budgets of retries.
+//! Retry budgets.
 //!
-//! A retry spends a token, and first tries earn them: retries stay a fixed share of the first
-//! tries, so that they cannot multiply the load on endpoints that fail because of load. The
-//! account's bucket keeps one account from spending what the others earned, the service's bucket
-//! bounds the sum.
+//! A retry spends a token and first attempts earn them, so that retries stay a fixed share of first
+//! attempts and cannot multiply the load on endpoints that fail because of load. The account's
+//! bucket keeps one account from spending what others earned, the service's bucket bounds the
+//! sum.
 
 use std::collections::HashMap;
 use std::hash::Hash;
@@ -11,12 +11,12 @@
 use crate::config::Repeat;
 use crate::name::{AccountName, ServiceName};
 
-/// Thousandths of a token that a first try earns.
-const EARNED: u32 = 100;
-/// Thousandths of a token that a retry spends.
-const SPENT: u32 = 1_000;
-/// Most thousandths of a token in a bucket.
-const BUCKET: u32 = 10_000;
+/// Millitokens earned by a first attempt.
+const EARNED_MILLITOKENS: u32 = 100;
+/// Millitokens spent by a retry.
+const SPENT_MILLITOKENS: u32 = 1_000;
+/// Capacity of a bucket, in millitokens.
+const BUCKET_MILLITOKENS: u32 = 10_000;
 
 /// Permission to send an idempotent request once more.
 #[derive(Debug)]
@@ -26,24 +26,24 @@
 struct Bucket(u32);
 
 impl Bucket {
-    const FULL: Self = Self(BUCKET);
+    const FULL: Self = Self(BUCKET_MILLITOKENS);
 
     fn earned(self) -> Self {
-        Self((self.0 + EARNED).min(BUCKET))
+        Self((self.0 + EARNED_MILLITOKENS).min(BUCKET_MILLITOKENS))
     }
 
     fn spent(self) -> Option<Self> {
-        self.0.checked_sub(SPENT).map(Self)
+        self.0.checked_sub(SPENT_MILLITOKENS).map(Self)
     }
 
     fn is_full(self) -> bool {
-        self.0 == BUCKET
+        self.0 == BUCKET_MILLITOKENS
     }
 }
 
 /// Retry budgets of all accounts and services at one entry.
 ///
-/// A bucket that is not kept is full.
+/// Only buckets that are not full are stored.
 #[derive(Debug, Default)]
 pub struct RetryBudgets {
     accounts: HashMap<(AccountName, ServiceName), Bucket>,
@@ -51,7 +51,7 @@
 }
 
 impl RetryBudgets {
-    /// Counts a first try.
+    /// Counts a first attempt.
     pub fn earn(&mut self, account: &AccountName, service: &ServiceName) {
         earn(&mut self.services, service);
         if !self.accounts.is_empty() {
@@ -59,7 +59,7 @@
         }
     }
 
-    /// Spends a retry of a sent request, if it is idempotent and both budgets allow it.
+    /// Spends a token on a retry of a sent request, if it is idempotent and both budgets allow it.
     pub fn spend(
         &mut self,
         repeat: Repeat,
@@ -81,7 +81,7 @@
         Some(RetryPermit(()))
     }
 
-    /// Forgets accounts and services for which `keep` is false.
+    /// Drops the account buckets for which `keep` is false.
     pub fn retain(&mut self, keep: impl Fn(&AccountName, &ServiceName) -> bool) {
         self.accounts.retain(|(a, s), _| keep(a, s));
     }
