--- a/cornelstand/src/route.rs
+++ b/cornelstand/src/route.rs
@@ -1,9 +1,9 @@
-//! The way from an entry to the dispatchers: finding a cell's owner and following its changes.
+//! Routing from an entry to the dispatchers: finds the owner of a cell and follows its changes.
 //!
-//! An offer is repeated, with the time it has waited, until the cell's present owner replies or
-//! its deadline passes; dispatchers treat a repeated offer as the same one. A caller that goes
-//! away withdraws its offer, also where the grant is already on its way. Outcomes are kept in an
-//! outbox until the owner has taken them.
+//! An offer is repeated, with the time it has waited, until the cell's current owner replies or
+//! its deadline passes; dispatchers treat a repeated offer as the same one. When a caller
+//! disconnects, its offer is withdrawn even if the grant is already on its way. Outcomes stay in an
+//! outbox until the owner has accepted them.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -21,21 +21,21 @@
 use crate::link::{LinkError, Links, Receipt};
 use crate::name::{AttemptId, CellId, InstanceName, ServiceName};
 
-/// Wait before an offer is repeated after a failed call.
-const PAUSE: Duration = Duration::from_millis(20);
-/// Longest wait before an offer or a report is repeated.
-const PAUSE_MOST: Duration = Duration::from_millis(500);
-/// Time for the answer to a report.
-const REPORT_WAIT: Duration = Duration::from_secs(5);
-/// Time after which an outcome that no owner takes is given up. By then a new owner has counted
+/// Initial backoff before an offer or a report is repeated.
+const BACKOFF_MIN: Duration = Duration::from_millis(20);
+/// Maximum backoff before an offer or a report is repeated.
+const BACKOFF_MAX: Duration = Duration::from_millis(500);
+/// Timeout of a call that carries reports, a withdrawal or totals.
+const REPORT_TIMEOUT: Duration = Duration::from_secs(5);
+/// Time after which an outcome that no owner accepts is dropped. By then a new owner has counted
 /// the attempt as ended, since the entry no longer lists it.
-const REPORT_MOST: Duration = Duration::from_mins(5);
+const REPORT_EXPIRY: Duration = Duration::from_mins(5);
 /// Most reports in one message.
-const BATCH: usize = 64;
-/// Cells compared when one is picked.
+const MAX_BATCH: usize = 64;
+/// Number of random cells compared when one is picked.
 const CHOICES: usize = 2;
 
-/// The owner of a cell, as far as this instance knows.
+/// The owner of a cell, as known to this instance.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub(crate) struct Owner {
     /// The instance.
@@ -48,22 +48,22 @@
 type FindPeer = dyn Fn(&InstanceName) -> Option<SocketAddr> + Send + Sync;
 type CellDelay = dyn Fn(&CellId) -> Duration + Send + Sync;
 
-/// What the router asks the rest of the instance.
+/// Lookups that the router needs from the rest of the instance.
 #[derive(Clone)]
 pub(crate) struct Directory {
-    /// Own name.
+    /// Name of this instance.
     pub(crate) own: InstanceName,
-    /// Present owner of a cell.
+    /// Current owner of a cell.
     pub(crate) owner: Arc<FindOwner>,
     /// Address of an instance.
     pub(crate) peer: Arc<FindPeer>,
-    /// Time that requests wait at a cell.
+    /// Expected wait of a new request at a cell.
     pub(crate) delay: Arc<CellDelay>,
     /// Configuration in force.
     pub(crate) config: tokio::sync::watch::Receiver<Arc<Config>>,
 }
 
-/// Carries offers and reports to the owners of cells. Clones share the outboxes.
+/// Sends offers and reports to the owners of cells. Clones share the outboxes.
 #[derive(Clone)]
 pub(crate) struct Router {
     directory: Directory,
@@ -73,7 +73,7 @@
 }
 
 impl Router {
-    /// A router that serves own cells through `local` and others over `links`.
+    /// Creates a router that reaches own cells through `local` and others over `links`.
     pub(crate) fn new(directory: Directory, links: Links, local: Holdings) -> Self {
         Self {
             directory,
@@ -83,7 +83,7 @@
         }
     }
 
-    /// The entry's way to the dispatchers.
+    /// The dispatch interface of the entry.
     pub(crate) fn dispatch(&self) -> Dispatch {
         let (offers, reports, picks) = (self.clone(), self.clone(), self.clone());
         Dispatch {
@@ -100,14 +100,14 @@
         let start = Instant::now();
         let (waited, left) = (offer.waited, offer.left);
         let mut withdrawal = Withdrawal::armed(self, &offer);
-        let mut pause = PAUSE;
+        let mut backoff = BACKOFF_MIN;
         let mut hint = None;
         while start.elapsed() < left {
             offer.waited = waited + start.elapsed();
             offer.left = left.saturating_sub(start.elapsed());
             match self.ask(&offer, hint.take()).await {
                 Some(Err(Refusal::NotOwner(next))) => {
-                    hint = next.filter(|_| pause == PAUSE);
+                    hint = next.filter(|_| backoff == BACKOFF_MIN);
                 }
                 Some(reply) => {
                     withdrawal.disarm();
@@ -116,9 +116,9 @@
                 None => {}
             }
             if hint.is_none() {
-                sleep(jittered(pause)).await;
+                sleep(jittered(backoff)).await;
             }
-            pause = (pause * 2).min(PAUSE_MOST);
+            backoff = (backoff * 2).min(BACKOFF_MAX);
         }
         Err(Refusal::Deadline)
     }
@@ -172,34 +172,34 @@
         outbox.send(report).ok();
     }
 
-    /// Sends the reports of one cell in order, as many at once as have come meanwhile.
+    /// Sends the reports of one cell in order, batching those that have accumulated.
     async fn send_reports(self, cell: CellId, mut inbox: mpsc::UnboundedReceiver<Report>) {
         let mut batch = Vec::new();
-        while inbox.recv_many(&mut batch, BATCH).await > 0 {
+        while inbox.recv_many(&mut batch, MAX_BATCH).await > 0 {
             self.deliver(&cell, std::mem::take(&mut batch)).await;
         }
     }
 
     async fn deliver(&self, cell: &CellId, mut batch: Vec<Report>) {
         let start = Instant::now();
-        let mut pause = PAUSE;
-        while !batch.is_empty() && start.elapsed() < REPORT_MOST {
-            match self.tell(cell, batch.clone()).await {
+        let mut backoff = BACKOFF_MIN;
+        while !batch.is_empty() && start.elapsed() < REPORT_EXPIRY {
+            match self.send_batch(cell, batch.clone()).await {
                 Ok(Some(receipts)) => {
-                    let mut taken = receipts.iter().map(|r| *r == Receipt::Taken);
-                    batch.retain(|_| !taken.next().unwrap_or(false));
+                    let mut accepted = receipts.iter().map(|r| *r == Receipt::Taken);
+                    batch.retain(|_| !accepted.next().unwrap_or(false));
                 }
-                // Progress is of no use to a later owner.
+                // A later owner has no use for progress reports.
                 Ok(None) | Err(_) => batch.retain(|r| r.phase != Phase::Running),
             }
             if !batch.is_empty() {
-                sleep(jittered(pause)).await;
-                pause = (pause * 2).min(PAUSE_MOST);
+                sleep(jittered(backoff)).await;
+                backoff = (backoff * 2).min(BACKOFF_MAX);
             }
         }
     }
 
-    async fn tell(
+    async fn send_batch(
         &self,
         cell: &CellId,
         reports: Vec<Report>,
@@ -211,66 +211,70 @@
             return Ok(Some(self.local.tell(reports).await));
         }
         self.links
-            .call(owner.address, REPORT_WAIT, |client, context| async move {
-                client.tell(context, reports).await
-            })
+            .call(
+                owner.address,
+                REPORT_TIMEOUT,
+                |client, context| async move { client.tell(context, reports).await },
+            )
             .await
             .map(Some)
     }
 
-    /// Takes back an offer whose reply nobody waits for any more.
+    /// Withdraws an offer whose reply nobody awaits any more.
     async fn withdraw(&self, cell: CellId, attempt: AttemptId) {
         let start = Instant::now();
-        let mut pause = PAUSE;
-        while start.elapsed() < REPORT_MOST {
+        let mut backoff = BACKOFF_MIN;
+        while start.elapsed() < REPORT_EXPIRY {
             if let Some(owner) = (self.directory.owner)(&cell) {
                 if owner.instance == self.directory.own {
                     self.local.withdraw(&cell, attempt).await;
                     return;
                 }
                 let cell = cell.clone();
-                let taken =
+                let request =
                     self.links.call(
                         owner.address,
-                        REPORT_WAIT,
+                        REPORT_TIMEOUT,
                         move |client, context| async move {
                             client.withdraw(context, cell, attempt).await
                         },
                     );
-                if taken.await.is_ok() {
+                if request.await.is_ok() {
                     return;
                 }
             }
-            sleep(jittered(pause)).await;
-            pause = (pause * 2).min(PAUSE_MOST);
+            sleep(jittered(backoff)).await;
+            backoff = (backoff * 2).min(BACKOFF_MAX);
         }
     }
 }
 
-/// Carries what each owned cell has given to the other cells of its service, until the owned cells
-/// are gone.
+/// Sends the service totals of each owned cell to the other cells of its service, until the
+/// channel closes.
 pub(crate) async fn carry_totals(
     directory: Directory,
     links: Links,
     local: Holdings,
     mut totals: mpsc::Receiver<Totals>,
 ) {
-    while let Some(told) = totals.recv().await {
-        for cell in sister_cells(&directory.config.borrow(), &told.cell) {
+    while let Some(message) = totals.recv().await {
+        for cell in sibling_cells(&directory.config.borrow(), &message.cell) {
             let Some(owner) = (directory.owner)(&cell) else {
                 continue;
             };
-            let (links, local, told) = (links.clone(), local.clone(), told.clone());
+            let (links, local, message) = (links.clone(), local.clone(), message.clone());
             let is_own = owner.instance == directory.own;
             tokio::spawn(async move {
                 if is_own {
-                    local.hear(&cell, told).await;
+                    local.hear(&cell, message).await;
                     return;
                 }
-                let sent = links.call(owner.address, REPORT_WAIT, |client, context| async move {
-                    client.hear(context, cell, told).await
-                });
-                // What is lost is part of a later message.
+                let sent = links.call(
+                    owner.address,
+                    REPORT_TIMEOUT,
+                    |client, context| async move { client.hear(context, cell, message).await },
+                );
+                // Totals are cumulative, so a later message includes what is lost.
                 sent.await.ok();
             });
         }
@@ -278,7 +282,7 @@
 }
 
 /// The other cells of the cell's service.
-fn sister_cells(config: &Config, cell: &CellId) -> Vec<CellId> {
+fn sibling_cells(config: &Config, cell: &CellId) -> Vec<CellId> {
     let cells = config.services.get(&cell.service).map_or(1, |s| s.cells);
     let others = (0..cells).filter(|index| *index != cell.index);
     others
@@ -317,7 +321,7 @@
     }
 }
 
-/// `pause` with up to half of it taken off, so that many waiters do not return at once.
-fn jittered(pause: Duration) -> Duration {
-    pause.mul_f64(rand::random_range(0.5..1.0))
+/// `backoff` with up to half of it taken off, so that many waiters do not return at once.
+fn jittered(backoff: Duration) -> Duration {
+    backoff.mul_f64(rand::random_range(0.5..1.0))
 }
