--- a/cornelstand/src/rules.rs
+++ b/cornelstand/src/rules.rs
@@ -1,6 +1,6 @@
-//! Rules that a configuration follows, checked before a release note is accepted.
+//! Validation of a configuration, run before a release note is accepted.
 //!
-//! Only items that the note touches are checked one by one; relations between items are checked
+//! Only items that the note touches are checked individually; references between items are checked
 //! over the whole result, because a note may break them from either side.
 
 use std::collections::BTreeMap;
@@ -13,12 +13,12 @@
 /// Hexadecimal digits of a key's SHA-256 hash.
 const KEY_DIGITS: usize = 64;
 
-/// Adds everything that breaks a rule in `next`, the result of `note`, to `problems`.
+/// Adds every rule violation in `next`, the result of `note`, to `problems`.
 pub(crate) fn check(next: &Config, note: &Note, problems: &mut Vec<NoteProblem>) {
     let mut rules = Rules { problems };
     rules.items("added", &note.added);
     rules.items("changed", &note.changed);
-    rules.relations(next, note);
+    rules.references(next, note);
     rules.keys(next);
     rules.addresses(next);
 }
@@ -28,14 +28,14 @@
 }
 
 impl Rules<'_> {
-    fn must(&mut self, holds: bool, place: impl Display, reason: Reason) {
+    fn require(&mut self, holds: bool, place: impl Display, reason: Reason) {
         if !holds {
             self.problems.push(NoteProblem::at(place, reason));
         }
     }
 
-    fn least(&mut self, value: u64, least: u64, place: impl Display) {
-        self.must(value >= least, place, Reason::TooSmall(least));
+    fn require_least(&mut self, value: u64, least: u64, place: impl Display) {
+        self.require(value >= least, place, Reason::TooSmall(least));
     }
 
     fn items(&mut self, part: &str, items: &Items) {
@@ -58,53 +58,53 @@
 
     fn name(&mut self, name: &impl Display, place: &str) {
         let text = name.to_string();
-        self.must(is_name(&text), format!("{place}.{text}"), Reason::BadName);
+        self.require(is_name(&text), format!("{place}.{text}"), Reason::BadName);
     }
 
     fn account(&mut self, account: &Account, place: &str) {
-        self.least(account.share.into(), 1, format!("{place}.share"));
-        self.least(account.queue.into(), 1, format!("{place}.queue"));
+        self.require_least(account.share.into(), 1, format!("{place}.share"));
+        self.require_least(account.queue.into(), 1, format!("{place}.queue"));
         for (index, key) in account.keys.iter().enumerate() {
             let place = format!("{place}.keys[{index}]");
-            self.must(is_key(key), place, Reason::BadKey);
+            self.require(is_key(key), place, Reason::BadKey);
         }
     }
 
     fn service(&mut self, service: &Service, place: &str) {
-        self.least(service.cells.into(), 1, format!("{place}.cells"));
-        self.least(service.estimate, 1, format!("{place}.estimate"));
+        self.require_least(service.cells.into(), 1, format!("{place}.cells"));
+        self.require_least(service.estimate, 1, format!("{place}.estimate"));
         for (index, route) in service.routes.iter().enumerate() {
             let place = format!("{place}.routes[{index}].prefix");
-            self.must(route.prefix.starts_with('/'), &place, Reason::BadPrefix);
+            self.require(route.prefix.starts_with('/'), &place, Reason::BadPrefix);
             let first = service.routes.iter().position(|r| r.prefix == route.prefix);
-            self.must(first == Some(index), &place, Reason::SamePrefix);
+            self.require(first == Some(index), &place, Reason::SamePrefix);
         }
     }
 
     fn endpoint(&mut self, endpoint: &Endpoint, place: &str) {
-        self.least(endpoint.cold.into(), 1, format!("{place}.cold"));
+        self.require_least(endpoint.cold.into(), 1, format!("{place}.cold"));
         let cold = endpoint.cold.into();
-        self.least(endpoint.warm.into(), cold, format!("{place}.warm"));
+        self.require_least(endpoint.warm.into(), cold, format!("{place}.warm"));
     }
 
-    fn relations(&mut self, next: &Config, note: &Note) {
+    fn references(&mut self, next: &Config, note: &Note) {
         for (name, endpoint) in &next.endpoints {
             if !next.services.contains_key(&endpoint.service) {
-                let used = note.withdrawn.services.contains(&endpoint.service);
+                let withdrawn = note.withdrawn.services.contains(&endpoint.service);
                 let absent = Reason::NoService(endpoint.service.clone());
-                self.broken(name, "service", &endpoint.service, used, absent);
+                self.missing_target(name, "service", &endpoint.service, withdrawn, absent);
             }
             if !next.centres.contains_key(&endpoint.centre) {
-                let used = note.withdrawn.centres.contains(&endpoint.centre);
+                let withdrawn = note.withdrawn.centres.contains(&endpoint.centre);
                 let absent = Reason::NoCentre(endpoint.centre.clone());
-                self.broken(name, "centre", &endpoint.centre, used, absent);
+                self.missing_target(name, "centre", &endpoint.centre, withdrawn, absent);
             }
         }
     }
 
-    /// The `target` that `endpoint` names in `field` does not exist, as it was `withdrawn` or for
-    /// the reason `absent`.
-    fn broken(
+    /// Reports that the `target` which `endpoint` names in `field` does not exist, because the note
+    /// has `withdrawn` it or for the reason `absent`.
+    fn missing_target(
         &mut self,
         endpoint: &EndpointName,
         field: &str,
@@ -114,9 +114,9 @@
     ) {
         if withdrawn {
             let place = format!("withdrawn.{field}s.{target}");
-            self.must(false, place, Reason::InUse(endpoint.clone()));
+            self.require(false, place, Reason::InUse(endpoint.clone()));
         } else {
-            self.must(false, format!("endpoints.{endpoint}.{field}"), absent);
+            self.require(false, format!("endpoints.{endpoint}.{field}"), absent);
         }
     }
 
@@ -126,7 +126,7 @@
             for (index, key) in account.keys.iter().enumerate() {
                 if let Some(other) = owners.insert(key, name) {
                     let place = format!("accounts.{name}.keys[{index}]");
-                    self.must(false, place, Reason::SharedKey(other.clone()));
+                    self.require(false, place, Reason::SharedKey(other.clone()));
                 }
             }
         }
@@ -137,7 +137,7 @@
         for (name, endpoint) in &next.endpoints {
             if let Some(other) = owners.insert(endpoint.address, name) {
                 let place = format!("endpoints.{name}.address");
-                self.must(false, place, Reason::SharedAddress(other.clone()));
+                self.require(false, place, Reason::SharedAddress(other.clone()));
             }
         }
     }
