--- a/cornelstand/src/meter.rs
+++ b/cornelstand/src/meter.rs
@@ -1,4 +1,4 @@
-//! Counts bytes on the links between instances and ends those that went silent.
+//! Byte counts and idle timeouts of the links between instances.
 
 use std::io;
 use std::pin::Pin;
@@ -31,23 +31,23 @@
     }
 }
 
-/// A stream whose bytes are counted and whose reads fail after a silence.
+/// A stream that counts its bytes and times out a read that stays idle.
 #[derive(Debug)]
 pub(crate) struct Metered<S> {
     inner: S,
     traffic: Traffic,
-    silence: Duration,
+    idle_timeout: Duration,
     timer: Pin<Box<Sleep>>,
 }
 
 impl<S> Metered<S> {
-    /// Wraps `inner`; a read that waits longer than `silence` fails.
-    pub(crate) fn new(inner: S, traffic: Traffic, silence: Duration) -> Self {
+    /// Wraps `inner`; a read that waits longer than `idle_timeout` fails.
+    pub(crate) fn new(inner: S, traffic: Traffic, idle_timeout: Duration) -> Self {
         Self {
             inner,
             traffic,
-            silence,
-            timer: Box::pin(sleep(silence)),
+            idle_timeout,
+            timer: Box::pin(sleep(idle_timeout)),
         }
     }
 }
@@ -62,7 +62,7 @@
         if let Poll::Ready(result) = Pin::new(&mut self.inner).poll_read(cx, buf) {
             let bytes = (buf.filled().len() - before) as u64;
             self.traffic.received.fetch_add(bytes, Ordering::Relaxed);
-            let deadline = Instant::now() + self.silence;
+            let deadline = Instant::now() + self.idle_timeout;
             self.timer.as_mut().reset(deadline);
             return Poll::Ready(result);
         }
