--- a/cornelstand/src/holdings.rs
+++ b/cornelstand/src/holdings.rs
@@ -1,8 +1,8 @@
 //! The cells that this instance owns, each with its dispatcher.
 //!
-//! Ownership comes and goes by the lease machine; calls of entries come over links. A cell that
-//! was handed over starts from the former owner's state, one that was taken over after a loss
-//! asks every entry what it still runs.
+//! The lease state machine starts and ends ownership; calls from entries arrive over links. A cell
+//! that was handed over starts from the former owner's state. One that was taken over after the
+//! loss of its owner recovers its running attempts from the entries.
 
 use std::collections::{BTreeSet, HashMap};
 use std::sync::{Arc, Mutex, PoisonError};
@@ -28,8 +28,8 @@
 use crate::name::{AttemptId, CellId, EndpointName, Epoch, InstanceName};
 use crate::timeline::{Timeline, Topic};
 
-/// Time between two measurements of the waits at the owned cells.
-const MEASURE: Duration = Duration::from_secs(1);
+/// Interval at which the waits at the owned cells are measured.
+const MEASURE_INTERVAL: Duration = Duration::from_secs(1);
 
 /// Dispatchers of the owned cells. Clones share them.
 #[derive(Clone)]
@@ -43,8 +43,8 @@
 
 #[derive(Default)]
 struct State {
-    held: HashMap<CellId, Held>,
-    /// State of cells whose former owner has handed over, until the lease is taken.
+    cells: HashMap<CellId, OwnedCell>,
+    /// State of cells handed over to this instance, until it takes the lease.
     incoming: HashMap<CellId, Handover>,
     leaving: BTreeSet<EndpointName>,
     /// Expected wait of a new request, in milliseconds.
@@ -52,17 +52,17 @@
 }
 
 #[derive(Clone)]
-struct Held {
+struct OwnedCell {
     epoch: Epoch,
     dispatcher: Address<Dispatcher>,
 }
 
-/// How a cell came to this instance.
+/// How this instance acquired a cell.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub(crate) enum Origin {
     /// With the former owner's state.
     HandedOver,
-    /// Without it; entries have to report what they run.
+    /// Without it; entries have to list their running attempts.
     TakenOver,
 }
 
@@ -82,7 +82,7 @@
         }
     }
 
-    /// Starts the dispatcher of a gained cell and tells how it came here.
+    /// Starts the dispatcher of an acquired cell and returns how it was acquired.
     ///
     /// `entries` are the instances that may run requests of the cell.
     pub(crate) async fn gain(
@@ -100,11 +100,11 @@
         } else {
             Origin::TakenOver
         };
-        let made = match incoming {
+        let machine = match incoming {
             Some(handover) => Cell::resume(handover, tenure.epoch, config, now),
             None => Cell::new(cell.clone(), tenure.epoch, config, now),
         };
-        let dispatcher = Dispatcher::spawn(made, self.clock, self.timeline.clone());
+        let dispatcher = Dispatcher::spawn(machine, self.clock, self.timeline.clone());
         if origin == Origin::TakenOver {
             dispatcher.send(Recover(entries)).await.ok();
         }
@@ -112,42 +112,42 @@
         dispatcher.send(SetLeaving(leaving)).await.ok();
         dispatcher.send(SetLease(tenure)).await.ok();
         dispatcher.send(Publish(self.totals.clone())).await.ok();
-        let held = Held {
+        let owned = OwnedCell {
             epoch: tenure.epoch,
             dispatcher,
         };
-        self.lock().held.insert(cell.clone(), held);
+        self.lock().cells.insert(cell.clone(), owned);
         self.timeline
             .record(Topic::Cell, "gained", &cell.to_string(), None);
         origin
     }
 
-    /// Extends or reduces the ownership of a cell.
+    /// Extends or reduces the lease of a cell.
     pub(crate) async fn renew(&self, cell: &CellId, tenure: Tenure) {
-        let held = self.lock().held.get_mut(cell).map(|held| {
-            // The owner takes a higher epoch when its heir has acted meanwhile.
-            held.epoch = tenure.epoch;
-            held.clone()
+        let owned = self.lock().cells.get_mut(cell).map(|owned| {
+            // The owner takes a higher epoch after its heir has acted for it.
+            owned.epoch = tenure.epoch;
+            owned.clone()
         });
-        if let Some(held) = held {
-            held.dispatcher.send(SetLease(tenure)).await.ok();
+        if let Some(owned) = owned {
+            owned.dispatcher.send(SetLease(tenure)).await.ok();
         }
     }
 
-    /// Ends the ownership of a cell and gives its state, if it was owned.
+    /// Ends the ownership of a cell and returns its state, if it was owned.
     pub(crate) async fn release(
         &self,
         cell: &CellId,
         next: Option<InstanceName>,
     ) -> Option<Handover> {
-        let held = self.lock().held.remove(cell)?;
-        let handover = held.dispatcher.send(HandOver { next }).await.ok()?;
+        let owned = self.lock().cells.remove(cell)?;
+        let handover = owned.dispatcher.send(HandOver { next }).await.ok()?;
         self.timeline
             .record(Topic::Cell, "released", &cell.to_string(), None);
         handover
     }
 
-    /// Keeps the state of a cell that is to be gained next.
+    /// Stores the state of a cell that this instance is about to acquire.
     pub(crate) fn receive(&self, handover: Handover) {
         let mut state = self.lock();
         state.incoming.insert(handover.cell.clone(), handover);
@@ -155,23 +155,23 @@
 
     /// Asks the dispatcher of an owned cell for an endpoint and waits for the reply.
     ///
-    /// The dispatcher takes an offer back whose asker has dropped the future, unless the router asks
-    /// again for the same attempt.
+    /// If the future is dropped, the dispatcher drops the offer, unless the router offers the same
+    /// attempt again.
     pub(crate) async fn offer(&self, offer: Offer) -> Reply {
-        let Some(held) = self.held(&offer.cell) else {
+        let Some(owned) = self.get(&offer.cell) else {
             return Err(Refusal::NotOwner(None));
         };
-        let reply = match held.dispatcher.send(Ask(offer)).await {
+        let reply = match owned.dispatcher.send(Ask(offer)).await {
             Ok(receiver) => receiver.await.ok(),
             Err(_) => None,
         };
         reply.unwrap_or(Err(Refusal::NotOwner(None)))
     }
 
-    /// Takes an offer back.
+    /// Withdraws an offer.
     pub(crate) async fn withdraw(&self, cell: &CellId, attempt: AttemptId) {
-        if let Some(held) = self.held(cell) {
-            held.dispatcher.send(Withdraw(attempt)).await.ok();
+        if let Some(owned) = self.get(cell) {
+            owned.dispatcher.send(Withdraw(attempt)).await.ok();
         }
     }
 
@@ -179,8 +179,8 @@
     pub(crate) async fn tell(&self, reports: Vec<Report>) -> Vec<Receipt> {
         let mut receipts = Vec::with_capacity(reports.len());
         for report in reports {
-            let taken = match self.held(&report.cell) {
-                Some(held) => held.dispatcher.send(Tell(vec![report])).await,
+            let taken = match self.get(&report.cell) {
+                Some(owned) => owned.dispatcher.send(Tell(vec![report])).await,
                 None => Ok(false),
             };
             receipts.push(if taken == Ok(true) {
@@ -192,52 +192,56 @@
         receipts
     }
 
-    /// Takes in what another cell of the service has given to accounts.
+    /// Passes the totals of another cell of the service to an owned cell.
     pub(crate) async fn hear(&self, cell: &CellId, totals: Totals) {
-        if let Some(held) = self.held(cell) {
-            held.dispatcher.send(Hear(totals)).await.ok();
+        if let Some(owned) = self.get(cell) {
+            owned.dispatcher.send(Hear(totals)).await.ok();
         }
     }
 
-    /// Takes in what an entry runs of an owned cell.
+    /// Passes the running attempts of an entry to an owned cell.
     pub(crate) async fn learn(&self, census: Census) {
-        if let Some(held) = self.held(&census.cell) {
-            held.dispatcher.send(Learn(census)).await.ok();
+        if let Some(owned) = self.get(&census.cell) {
+            owned.dispatcher.send(Learn(census)).await.ok();
         }
     }
 
-    /// Frees all that a lost entry ran.
+    /// Tells all owned cells that an entry is gone, which frees its attempts.
     pub(crate) async fn forget_entry(&self, entry: &InstanceName) {
-        for held in self.all() {
-            held.dispatcher.send(EntryGone(entry.clone())).await.ok();
+        for owned in self.all() {
+            owned.dispatcher.send(EntryGone(entry.clone())).await.ok();
         }
     }
 
     /// Puts a revision of the configuration in force in all owned cells.
     pub(crate) async fn configure(&self, config: &Arc<Config>) {
-        for held in self.all() {
-            held.dispatcher.send(Configure(config.clone())).await.ok();
+        for owned in self.all() {
+            owned.dispatcher.send(Configure(config.clone())).await.ok();
         }
     }
 
-    /// Names all endpoints that the platform is about to stop.
+    /// Sets the complete list of endpoints that the platform is about to stop.
     pub(crate) async fn set_leaving(&self, leaving: BTreeSet<EndpointName>) {
         self.lock().leaving.clone_from(&leaving);
-        for held in self.all() {
-            held.dispatcher.send(SetLeaving(leaving.clone())).await.ok();
+        for owned in self.all() {
+            owned
+                .dispatcher
+                .send(SetLeaving(leaving.clone()))
+                .await
+                .ok();
         }
     }
 
-    /// Owned cells with the epoch of each.
+    /// Owned cells with their epochs.
     pub(crate) fn owned(&self) -> Vec<(CellId, Epoch)> {
         let state = self.lock();
-        let held = state.held.iter();
-        held.map(|(cell, h)| (cell.clone(), h.epoch)).collect()
+        let owned = state.cells.iter();
+        owned.map(|(cell, h)| (cell.clone(), h.epoch)).collect()
     }
 
     /// Whether this instance owns a cell with this epoch.
     pub(crate) fn is_owned(&self, cell: &CellId, epoch: Epoch) -> bool {
-        self.held(cell).is_some_and(|h| h.epoch == epoch)
+        self.get(cell).is_some_and(|h| h.epoch == epoch)
     }
 
     /// Expected wait of a new request at an owned cell, in milliseconds, as last measured.
@@ -245,32 +249,32 @@
         self.lock().delays.get(cell).copied().unwrap_or_default()
     }
 
-    /// Measures the waits at the owned cells again and again.
+    /// Measures the waits at the owned cells periodically.
     pub(crate) async fn measure_delays(self) {
         loop {
             let status = self.status().await;
             let delays = status.iter().map(|c| (c.cell.clone(), c.delay()));
             self.lock().delays = delays.collect();
-            sleep(MEASURE).await;
+            sleep(MEASURE_INTERVAL).await;
         }
     }
 
-    /// State of the owned cells.
+    /// Status of the owned cells.
     pub(crate) async fn status(&self) -> Vec<CellStatus> {
         let mut cells = Vec::new();
-        for held in self.all() {
-            cells.extend(held.dispatcher.send(Inspect).await.ok().flatten());
+        for owned in self.all() {
+            cells.extend(owned.dispatcher.send(Inspect).await.ok().flatten());
         }
         cells.sort_by(|a, b| a.cell.cmp(&b.cell));
         cells
     }
 
-    fn held(&self, cell: &CellId) -> Option<Held> {
-        self.lock().held.get(cell).cloned()
+    fn get(&self, cell: &CellId) -> Option<OwnedCell> {
+        self.lock().cells.get(cell).cloned()
     }
 
-    fn all(&self) -> Vec<Held> {
-        self.lock().held.values().cloned().collect()
+    fn all(&self) -> Vec<OwnedCell> {
+        self.lock().cells.values().cloned().collect()
     }
 
     fn lock(&self) -> std::sync::MutexGuard<'_, State> {
@@ -278,9 +282,9 @@
     }
 }
 
-/// Whether nobody can have owned the cell between two epochs.
+/// Whether no other instance can have owned the cell between two epochs.
 ///
-/// The state of an earlier owner does not tell what a later one has granted.
+/// State that predates another owner lacks that owner's grants.
 fn is_next(before: Epoch, after: Epoch) -> bool {
     before < after && after.0 - before.0 <= EPOCH_STEP
 }
--- a/cornelstand/src/holdings/tests.rs
+++ b/cornelstand/src/holdings/tests.rs
@@ -1,4 +1,4 @@
-//! Which state a gained cell starts from.
+//! Tests of the state that an acquired cell starts from.
 
 use std::collections::BTreeSet;
 use std::sync::Arc;
@@ -26,12 +26,12 @@
 }
 
 #[rstest]
-#[case::the_next_owner(4, 6, Origin::HandedOver)]
-#[case::the_heir(4, 5, Origin::HandedOver)]
-#[case::others_owned_it_since(4, 8, Origin::TakenOver)]
-#[case::from_a_later_owner(6, 6, Origin::TakenOver)]
+#[case::next_owner(4, 6, Origin::HandedOver)]
+#[case::heir(4, 5, Origin::HandedOver)]
+#[case::owned_by_others_since(4, 8, Origin::TakenOver)]
+#[case::state_of_a_later_owner(6, 6, Origin::TakenOver)]
 #[tokio::test]
-async fn only_the_state_of_the_owner_just_before_is_used(
+async fn only_the_state_of_the_preceding_owner_is_used(
     #[case] before: u64,
     #[case] after: u64,
     #[case] origin: Origin,
