--- a/cornelstand/tests/decide/actor.rs
+++ b/cornelstand/tests/decide/actor.rs
@@ -1,4 +1,4 @@
-//! The actor around a cell, in paused time.
+//! Tests of the dispatcher actor, with the clock of tokio paused.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -13,7 +13,7 @@
 use crate::make::{Size, attempt, config, ended, flat, offer};
 use warp::Filter;
 
-/// A dispatcher of one slot that owns its cell for ten seconds.
+/// Starts a dispatcher with one slot and a lease of ten seconds.
 async fn start() -> Address<Dispatcher> {
     start_with(config(&[1], &[flat(1)])).await
 }
@@ -43,7 +43,7 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn an_outcome_passes_the_slot_on() {
+async fn an_outcome_frees_the_slot_for_the_next_offer() {
     let dispatcher = start().await;
     let first = ask(&dispatcher, 1, 60).await;
     let second = ask(&dispatcher, 2, 60).await;
@@ -55,7 +55,7 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn deadlines_and_the_end_of_the_lease_are_kept_by_the_timer() {
+async fn the_timer_enforces_deadlines_and_the_end_of_the_lease() {
     let dispatcher = start().await;
     let first = ask(&dispatcher, 1, 60).await;
     assert!(first.await.expect("a reply").is_ok());
@@ -82,7 +82,7 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_grant_that_nobody_waits_for_is_passed_on_and_may_be_asked_for_again() {
+async fn an_undelivered_grant_goes_to_the_next_offer_and_may_be_offered_again() {
     let dispatcher = start().await;
     let first = ask(&dispatcher, 1, 60).await;
     let grant = first.await.expect("a reply").expect("a grant");
@@ -98,7 +98,7 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn an_offer_whose_asker_has_gone_leaves_the_queue() {
+async fn an_abandoned_offer_leaves_the_queue() {
     let dispatcher = start().await;
     let first = ask(&dispatcher, 1, 60).await;
     assert!(first.await.expect("a reply").is_ok());
--- a/cornelstand/tests/decide/basics.rs
+++ b/cornelstand/tests/decide/basics.rs
@@ -1,4 +1,4 @@
-//! Single decisions of a cell.
+//! Tests of single decisions of a cell.
 
 use cornelstand::{CellInput, CellOutput, Ending, Moment, Offer, Part, Refusal};
 use std::time::Duration;
@@ -8,7 +8,7 @@
 };
 
 #[test]
-fn free_slots_are_granted_at_once_and_later_ones_on_an_end() {
+fn free_slots_are_granted_at_once_and_others_when_an_attempt_ends() {
     let mut cell = cell(&config(&[1], &[flat(2)]));
     let mut granted = Vec::new();
     for number in 0..3 {
@@ -25,7 +25,7 @@
 }
 
 #[test]
-fn a_lapsed_lease_grants_nothing_and_refuses_what_waits() {
+fn an_expired_lease_grants_nothing_and_refuses_queued_offers() {
     let mut cell = cell(&config(&[1], &[flat(1)]));
     let until = at(100);
     send(&mut cell, at(0), lease_until(until, Part::Full));
@@ -60,7 +60,7 @@
 }
 
 #[test]
-fn interactive_offers_pass_batch_ones_of_the_same_account() {
+fn interactive_offers_precede_batch_ones_of_the_same_account() {
     let mut cell = cell(&config(&[1], &[flat(1)]));
     let out = send(&mut cell, at(0), CellInput::Offer(offer(0, "a0")));
     let first = grants(&out).remove(0);
@@ -72,7 +72,7 @@
 }
 
 #[test]
-fn a_re_offered_request_keeps_its_place() {
+fn a_request_offered_again_keeps_its_order_of_arrival() {
     let mut cell = cell(&config(&[1], &[flat(1)]));
     let out = send(&mut cell, at(0), CellInput::Offer(offer(0, "a0")));
     let first = grants(&out).remove(0);
@@ -137,7 +137,7 @@
 }
 
 #[test]
-fn a_full_queue_says_when_to_come_back() {
+fn a_full_queue_suggests_a_retry_delay() {
     let mut cell = cell(&config(&[1], &[flat(1)]));
     let outs = (0..258).map(|n| send(&mut cell, at(1), CellInput::Offer(offer(n, "a0"))));
     let last = outs.last().expect("258 offers");
--- a/cornelstand/tests/decide/endpoints.rs
+++ b/cornelstand/tests/decide/endpoints.rs
@@ -1,4 +1,4 @@
-//! What a cell permits at one endpoint as it learns of it.
+//! Tests of the limit that a cell sets for one endpoint.
 
 use std::time::Duration;
 
@@ -15,37 +15,37 @@
     ramp: 8,
 };
 
-/// A cell with one endpoint of [`SIZE`] and more offers than it ever bears.
-struct Bed {
+/// A cell with one endpoint of [`SIZE`] and more offers than it can run.
+struct Fixture {
     cell: Cell,
     now: u64,
     running: Vec<Grant>,
     boot: u64,
 }
 
-impl Bed {
+impl Fixture {
     fn new() -> Self {
-        let mut bed = Self {
+        let mut fixture = Self {
             cell: cell(&config(&[1], &[SIZE])),
             now: 1000,
             running: Vec::new(),
             boot: 1,
         };
         for number in 0..200 {
-            bed.send(CellInput::Offer(offer(number, "a0")));
+            fixture.send(CellInput::Offer(offer(number, "a0")));
         }
-        bed
+        fixture
     }
 
-    /// A bed whose endpoint is warm and full.
+    /// A fixture whose endpoint is warm and full.
     fn warm() -> Self {
-        let mut bed = Self::new();
+        let mut fixture = Self::new();
         for _ in 0..SIZE.ramp {
-            bed.end(0, Ending::Answered);
+            fixture.end(0, Ending::Answered);
         }
-        assert_eq!(bed.limit(), (State::Warm, SIZE.warm));
-        assert_eq!(bed.running.len(), 10);
-        bed
+        assert_eq!(fixture.limit(), (State::Warm, SIZE.warm));
+        assert_eq!(fixture.running.len(), 10);
+        fixture
     }
 
     fn send(&mut self, input: CellInput) -> Vec<CellOutput> {
@@ -87,11 +87,11 @@
 
 #[test]
 fn the_limit_rises_with_answers_of_the_boot() {
-    let mut bed = Bed::new();
-    let mut seen = vec![(bed.limit(), bed.running.len())];
+    let mut fixture = Fixture::new();
+    let mut seen = vec![(fixture.limit(), fixture.running.len())];
     for _ in 0..SIZE.ramp {
-        bed.end(0, Ending::Answered);
-        seen.push((bed.limit(), bed.running.len()));
+        fixture.end(0, Ending::Answered);
+        seen.push((fixture.limit(), fixture.running.len()));
     }
     let lines = seen.iter().map(|((s, l), r)| format!("{s} {l} {r}"));
     insta::assert_snapshot!(lines.collect::<Vec<_>>().join("\n"), @r"
@@ -110,112 +110,116 @@
 #[rstest]
 #[case::broken(Ending::Broken)]
 #[case::overloaded(Ending::Overloaded)]
-fn a_bad_end_cuts_to_cold_at_once(#[case] ending: Ending) {
-    let mut bed = Bed::warm();
-    bed.end(0, ending);
-    assert_eq!(bed.limit(), (State::Cold, SIZE.cold));
-    assert_eq!(bed.running.len(), 9, "nothing is granted above the limit");
+fn a_failed_attempt_cuts_the_limit_to_cold(#[case] ending: Ending) {
+    let mut fixture = Fixture::warm();
+    fixture.end(0, ending);
+    assert_eq!(fixture.limit(), (State::Cold, SIZE.cold));
+    assert_eq!(
+        fixture.running.len(),
+        9,
+        "nothing is granted above the limit"
+    );
 }
 
 #[test]
-fn the_ends_of_one_restart_cut_once() {
-    let mut bed = Bed::warm();
+fn the_broken_attempts_of_one_restart_cut_the_limit_once() {
+    let mut fixture = Fixture::warm();
     for _ in 0..8 {
-        bed.end(0, Ending::Broken);
+        fixture.end(0, Ending::Broken);
     }
-    bed.end(0, Ending::Broken);
-    bed.boot = 2;
-    let fresh = bed.running.len() - 1;
-    bed.end(fresh, Ending::Answered);
-    assert_eq!(bed.limit(), (State::Warming, SIZE.cold + 1));
-    bed.end(0, Ending::Broken);
-    assert_eq!(bed.limit(), (State::Warming, SIZE.cold + 1));
+    fixture.end(0, Ending::Broken);
+    fixture.boot = 2;
+    let fresh = fixture.running.len() - 1;
+    fixture.end(fresh, Ending::Answered);
+    assert_eq!(fixture.limit(), (State::Warming, SIZE.cold + 1));
+    fixture.end(0, Ending::Broken);
+    assert_eq!(fixture.limit(), (State::Warming, SIZE.cold + 1));
 }
 
 #[test]
-fn a_new_boot_in_an_answer_cuts_to_cold() {
-    let mut bed = Bed::warm();
-    bed.boot = 2;
-    bed.end(0, Ending::Answered);
-    assert_eq!(bed.limit(), (State::Warming, SIZE.cold + 1));
+fn a_new_boot_in_an_answer_cuts_the_limit_to_cold() {
+    let mut fixture = Fixture::warm();
+    fixture.boot = 2;
+    fixture.end(0, Ending::Answered);
+    assert_eq!(fixture.limit(), (State::Warming, SIZE.cold + 1));
 }
 
 #[test]
 fn a_late_answer_of_an_earlier_boot_changes_nothing() {
-    let mut bed = Bed::warm();
-    bed.boot = 2;
-    bed.end(0, Ending::Answered);
-    bed.boot = 1;
-    bed.end(0, Ending::Answered);
-    assert_eq!(bed.limit(), (State::Warming, SIZE.cold + 1));
+    let mut fixture = Fixture::warm();
+    fixture.boot = 2;
+    fixture.end(0, Ending::Answered);
+    fixture.boot = 1;
+    fixture.end(0, Ending::Answered);
+    assert_eq!(fixture.limit(), (State::Warming, SIZE.cold + 1));
 }
 
 #[test]
 fn a_boot_that_outlives_a_broken_connection_is_warm_again() {
-    let mut bed = Bed::warm();
+    let mut fixture = Fixture::warm();
     for _ in 0..9 {
-        bed.end(0, Ending::Broken);
+        fixture.end(0, Ending::Broken);
     }
-    let fresh = bed.running.len() - 1;
-    bed.end(fresh, Ending::Answered);
-    assert_eq!(bed.limit(), (State::Warm, SIZE.warm));
-    let running = u32::try_from(bed.running.len()).expect("few");
+    let fresh = fixture.running.len() - 1;
+    fixture.end(fresh, Ending::Answered);
+    assert_eq!(fixture.limit(), (State::Warm, SIZE.warm));
+    let running = u32::try_from(fixture.running.len()).expect("few");
     assert_eq!(running, SIZE.warm - 9, "the broken ones may still run");
-    bed.now += 3000;
-    bed.load(1, running, 20);
-    assert_eq!(bed.running.len(), 10);
+    fixture.now += 3000;
+    fixture.load(1, running, 20);
+    assert_eq!(fixture.running.len(), 10);
 }
 
 #[test]
-fn a_load_report_of_a_new_boot_cuts_and_one_of_an_old_boot_does_not_restore() {
-    let mut bed = Bed::warm();
-    bed.load(2, 0, 0);
-    assert_eq!(bed.limit(), (State::Cold, SIZE.cold));
-    bed.load(1, 10, 50);
-    assert_eq!(bed.limit(), (State::Cold, SIZE.cold));
+fn a_load_report_of_a_new_boot_cuts_the_limit_and_one_of_an_old_boot_does_not_restore_it() {
+    let mut fixture = Fixture::warm();
+    fixture.load(2, 0, 0);
+    assert_eq!(fixture.limit(), (State::Cold, SIZE.cold));
+    fixture.load(1, 10, 50);
+    assert_eq!(fixture.limit(), (State::Cold, SIZE.cold));
 }
 
 #[test]
-fn a_load_report_raises_the_limit_only_of_a_boot_that_an_answer_showed() {
-    let mut bed = Bed::new();
-    bed.load(1, 0, 50);
-    assert_eq!(bed.limit(), (State::Cold, SIZE.cold));
-    bed.end(0, Ending::Answered);
-    assert_eq!(bed.limit(), (State::Warm, SIZE.warm));
+fn a_load_report_raises_the_limit_only_of_a_boot_seen_in_an_answer() {
+    let mut fixture = Fixture::new();
+    fixture.load(1, 0, 50);
+    assert_eq!(fixture.limit(), (State::Cold, SIZE.cold));
+    fixture.end(0, Ending::Answered);
+    assert_eq!(fixture.limit(), (State::Warm, SIZE.warm));
 }
 
 #[test]
 fn a_load_report_and_the_late_outcome_of_the_same_answer_count_once() {
-    let mut bed = Bed::new();
-    bed.end(0, Ending::Answered);
-    bed.load(1, 1, 2);
-    assert_eq!(bed.limit(), (State::Warming, SIZE.cold + 2));
-    bed.end(0, Ending::Answered);
-    assert_eq!(bed.limit(), (State::Warming, SIZE.cold + 2));
+    let mut fixture = Fixture::new();
+    fixture.end(0, Ending::Answered);
+    fixture.load(1, 1, 2);
+    assert_eq!(fixture.limit(), (State::Warming, SIZE.cold + 2));
+    fixture.end(0, Ending::Answered);
+    assert_eq!(fixture.limit(), (State::Warming, SIZE.cold + 2));
 }
 
 #[test]
 fn an_overloaded_boot_is_raised_by_its_own_answers_only() {
-    let mut bed = Bed::warm();
-    bed.end(0, Ending::Overloaded);
-    bed.load(1, 9, 50);
-    assert_eq!(bed.limit(), (State::Cold, SIZE.cold));
-    bed.end(0, Ending::Answered);
-    assert_eq!(bed.limit(), (State::Warming, SIZE.cold + 1));
+    let mut fixture = Fixture::warm();
+    fixture.end(0, Ending::Overloaded);
+    fixture.load(1, 9, 50);
+    assert_eq!(fixture.limit(), (State::Cold, SIZE.cold));
+    fixture.end(0, Ending::Answered);
+    assert_eq!(fixture.limit(), (State::Warming, SIZE.cold + 1));
 }
 
 #[test]
-fn a_first_byte_far_later_than_before_cuts_to_cold() {
-    let mut bed = Bed::warm();
+fn a_late_first_byte_cuts_the_limit_to_cold() {
+    let mut fixture = Fixture::warm();
     let mut answer = |ms| {
-        let grant = bed.running.remove(0);
+        let grant = fixture.running.remove(0);
         let first = Some(Duration::from_millis(ms));
         let report = Report {
             first,
-            ..bed.report(&grant, Ending::Answered)
+            ..fixture.report(&grant, Ending::Answered)
         };
-        bed.send(CellInput::Report(report));
-        bed.limit()
+        fixture.send(CellInput::Report(report));
+        fixture.limit()
     };
     for _ in 0..20 {
         assert_eq!(answer(20), (State::Warm, SIZE.warm));
@@ -225,9 +229,9 @@
 }
 
 #[test]
-fn an_idle_endpoint_gets_its_cold_number_until_its_boot_shows() {
-    let mut bed = Bed::warm();
-    let mut cell = std::mem::replace(&mut bed.cell, cell(&config(&[1], &[SIZE])));
+fn an_idle_endpoint_has_its_cold_limit_until_its_boot_is_seen() {
+    let mut fixture = Fixture::warm();
+    let mut cell = std::mem::replace(&mut fixture.cell, cell(&config(&[1], &[SIZE])));
     let waiting = (0..200).map(crate::make::attempt);
     for attempt in waiting {
         send(&mut cell, at(2000), CellInput::Withdraw(attempt));
@@ -245,61 +249,65 @@
 }
 
 #[test]
-fn a_silent_attempt_holds_its_slot_until_a_young_load_report() {
-    let mut bed = Bed::warm();
-    bed.end(0, Ending::Silent);
-    assert_eq!(bed.running.len(), 9);
-    bed.load(1, 9, 50);
-    assert_eq!(bed.running.len(), 9, "the report may be older than the end");
-    bed.now += 3000;
-    bed.load(1, 9, 50);
-    assert_eq!(bed.running.len(), 10);
+fn a_silent_attempt_holds_its_slot_until_a_recent_load_report() {
+    let mut fixture = Fixture::warm();
+    fixture.end(0, Ending::Silent);
+    assert_eq!(fixture.running.len(), 9);
+    fixture.load(1, 9, 50);
+    assert_eq!(
+        fixture.running.len(),
+        9,
+        "the report may be older than the end"
+    );
+    fixture.now += 3000;
+    fixture.load(1, 9, 50);
+    assert_eq!(fixture.running.len(), 10);
 }
 
 #[test]
 fn an_endpoint_that_cannot_be_reached_is_probed_with_backoff() {
-    let mut bed = Bed::new();
+    let mut fixture = Fixture::new();
     let mut probes = Vec::new();
     loop {
-        while !bed.running.is_empty() {
-            let start = bed.now;
-            bed.end(0, Ending::NotSent);
-            if bed.limit().0 == State::Suspect {
+        while !fixture.running.is_empty() {
+            let start = fixture.now;
+            fixture.end(0, Ending::NotSent);
+            if fixture.limit().0 == State::Suspect {
                 probes.push(start - 1000);
             }
-            bed.now += 100;
+            fixture.now += 100;
         }
-        if bed.now > 17_000 {
+        if fixture.now > 17_000 {
             break;
         }
-        let due = bed.cell.timer().expect("a probe is due");
-        bed.now = due.0 / 1000;
-        bed.send(CellInput::Tick);
+        let due = fixture.cell.timer().expect("a probe is due");
+        fixture.now = due.0 / 1000;
+        fixture.send(CellInput::Tick);
     }
     insta::assert_snapshot!(format!("{probes:?}"), @"[806, 907, 1308, 2309, 4310, 8311, 16312]");
-    bed.load(2, 0, 0);
-    assert_eq!(bed.running.len(), 1, "the endpoint has restarted");
-    bed.end(0, Ending::Answered);
-    assert_eq!(bed.limit().0, State::Warming);
+    fixture.load(2, 0, 0);
+    assert_eq!(fixture.running.len(), 1, "the endpoint has restarted");
+    fixture.end(0, Ending::Answered);
+    assert_eq!(fixture.limit().0, State::Warming);
 }
 
 #[test]
-fn a_leaving_endpoint_gets_nothing_more() {
-    let mut bed = Bed::warm();
+fn a_leaving_endpoint_gets_no_new_work() {
+    let mut fixture = Fixture::warm();
     let names = ["e0".into()].into();
-    let out = bed.send(CellInput::Leaving(names));
+    let out = fixture.send(CellInput::Leaving(names));
     let changed = CellOutput::Changed {
         endpoint: "e0".into(),
         state: State::Leaving,
     };
     assert!(out.contains(&changed));
-    bed.end(0, Ending::Answered);
-    assert_eq!(bed.running.len(), 9);
-    assert_eq!(bed.cell.status().running, 9);
+    fixture.end(0, Ending::Answered);
+    assert_eq!(fixture.running.len(), 9);
+    assert_eq!(fixture.cell.status().running, 9);
 }
 
 #[test]
-fn a_data_centre_taken_out_gets_nothing_more_and_comes_back() {
+fn a_data_centre_taken_out_gets_no_new_work_until_it_is_back() {
     let base = config(&[1], &[flat(2)]);
     let mut cell = cell(&base);
     send(&mut cell, at(1), CellInput::Offer(offer(0, "a0")));
--- a/cornelstand/tests/decide/main.rs
+++ b/cornelstand/tests/decide/main.rs
@@ -1,4 +1,4 @@
-//! Tests of the dispatch decisions and of the actor around them.
+//! Tests of the dispatch decisions and of the dispatcher actor.
 
 mod actor;
 mod basics;
--- a/cornelstand/tests/decide/make.rs
+++ b/cornelstand/tests/decide/make.rs
@@ -1,4 +1,4 @@
-//! Builders of configurations and messages.
+//! Builders of test configurations and messages.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -9,7 +9,7 @@
     Endpoint, Epoch, Grant, Kind, Moment, Offer, Part, Phase, Report, RequestId, Service, Tenure,
 };
 
-/// Endpoint sizes: requests at once when cold and warm, and the answers between.
+/// Limits of an endpoint when cold and warm, and the answers it takes between them.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Size {
     pub(crate) cold: u32,
@@ -17,7 +17,7 @@
     pub(crate) ramp: u32,
 }
 
-/// Endpoints that are warm at once.
+/// An endpoint without a warm-up.
 pub(crate) const fn flat(slots: u32) -> Size {
     Size {
         cold: slots,
@@ -69,7 +69,7 @@
     }
 }
 
-/// A cell of epoch 2 that holds its lease for good.
+/// A cell of epoch 2 whose lease never expires.
 pub(crate) fn cell(config: &Arc<Config>) -> Cell {
     let mut cell = Cell::new(cell_id(), Epoch(2), Arc::clone(config), at(0));
     drop(send(&mut cell, at(0), lease(Part::Full)));
@@ -130,7 +130,7 @@
     }
 }
 
-/// The end of a granted attempt of `account`.
+/// The final report on a granted attempt of `account`.
 pub(crate) fn ended(grant: &Grant, account: &str, cost: u64, ending: Ending) -> Report {
     Report {
         attempt: grant.attempt,
--- a/cornelstand/tests/decide/properties.rs
+++ b/cornelstand/tests/decide/properties.rs
@@ -1,4 +1,4 @@
-//! Properties of whole runs, for random arrivals, costs, shares, cancellations and lost outcomes.
+//! Tests of whole runs with random arrivals, costs, shares, cancellations and lost outcomes.
 
 use cornelstand::Class;
 use proptest::prelude::*;
@@ -7,7 +7,7 @@
 use crate::driver::{Driver, Job, Plan, Takeover};
 use crate::make::{Size, flat};
 
-fn fixed(cases: u32) -> ProptestConfig {
+fn fixed_seed(cases: u32) -> ProptestConfig {
     ProptestConfig {
         cases,
         rng_seed: RngSeed::Fixed(4),
@@ -55,32 +55,32 @@
     }
 }
 
-/// Jobs whose callers did not go before a grant.
-fn kept(plan: &Plan) -> usize {
+/// Number of jobs whose callers never cancel.
+fn staying(plan: &Plan) -> usize {
     plan.jobs.iter().filter(|j| j.cancel.is_none()).count()
 }
 
 proptest! {
-    #![proptest_config(fixed(150))]
+    #![proptest_config(fixed_seed(150))]
 
     #[test]
-    fn the_gap_keeps_its_bound_and_no_slot_idles(
+    fn the_service_gap_stays_within_its_bound_and_no_slot_idles(
         (shares, jobs) in jobs(),
         slots in prop::collection::vec(1_u32..5, 1..4),
     ) {
         let sizes = slots.into_iter().map(flat).collect();
         let plan = Plan { shares, sizes, jobs, restarts: Vec::new(), lag: 0, takeovers: Vec::new() };
-        let kept = kept(&plan);
+        let staying = staying(&plan);
         let outcome = Driver::new(plan).run();
         let status = outcome.status.expect("a status");
         prop_assert!(outcome.gap_percent <= 100, "gap at {} % of the bound", outcome.gap_percent);
         prop_assert_eq!(outcome.idle, 0);
         prop_assert_eq!((status.waiting, status.running), (0, 0));
-        prop_assert!(outcome.waits.len() >= kept, "every request that stays is served");
+        prop_assert!(outcome.waits.len() >= staying, "every request that stays is served");
     }
 
     #[test]
-    fn no_engine_gets_more_than_it_bears(
+    fn no_engine_gets_more_than_its_capacity(
         (shares, jobs) in jobs(),
         sizes in prop::collection::vec(size(), 1..4),
         restarts in prop::collection::vec((0_u64..3000, 0_usize..3), 0..6),
@@ -89,17 +89,17 @@
         let engines = sizes.len();
         let restarts = restarts.into_iter().filter(|(_, e)| *e < engines).collect();
         let plan = Plan { shares, sizes, jobs, restarts, lag, takeovers: Vec::new() };
-        let kept = kept(&plan);
+        let staying = staying(&plan);
         let outcome = Driver::new(plan).run();
         let status = outcome.status.expect("a status");
         prop_assert_eq!(outcome.excess, []);
         prop_assert!(outcome.gap_percent <= 100, "gap at {} % of the bound", outcome.gap_percent);
         prop_assert_eq!((status.waiting, status.running), (0, 0));
-        prop_assert!(outcome.waits.len() >= kept, "every request that stays is served");
+        prop_assert!(outcome.waits.len() >= staying, "every request that stays is served");
     }
 
     #[test]
-    fn changes_of_owner_lose_nothing_and_overload_no_engine(
+    fn changes_of_owner_lose_no_request_and_overload_no_engine(
         (shares, jobs) in jobs(),
         sizes in prop::collection::vec(size(), 1..4),
         restarts in prop::collection::vec((0_u64..3000, 0_usize..3), 0..3),
@@ -109,11 +109,11 @@
         let engines = sizes.len();
         let restarts = restarts.into_iter().filter(|(_, e)| *e < engines).collect();
         let plan = Plan { shares, sizes, jobs, restarts, lag, takeovers };
-        let kept = kept(&plan);
+        let staying = staying(&plan);
         let outcome = Driver::new(plan).run();
         let status = outcome.status.expect("a status");
         prop_assert_eq!(outcome.excess, []);
         prop_assert_eq!((status.waiting, status.running), (0, 0));
-        prop_assert!(outcome.waits.len() >= kept, "every request that stays is served");
+        prop_assert!(outcome.waits.len() >= staying, "every request that stays is served");
     }
 }
--- a/cornelstand/tests/decide/takeover.rs
+++ b/cornelstand/tests/decide/takeover.rs
@@ -1,4 +1,4 @@
-//! How a cell passes from one owner to the next.
+//! Tests of the transfer of a cell from one owner to the next.
 
 use std::sync::Arc;
 
@@ -9,9 +9,9 @@
 
 use crate::make::{at, attempt, cell, cell_id, config, ended, flat, grants, lease, offer, send};
 
-/// A new owner of a cell with one endpoint of four slots, whose entries `i0` and `i1` have still
-/// to report, and six offers that wait.
-fn taken() -> (Cell, Arc<Config>) {
+/// A new owner of a cell with one endpoint of four slots, whose entries `i0` and `i1` have yet
+/// to report, and six queued offers.
+fn taken_over() -> (Cell, Arc<Config>) {
     let config = config(&[1, 1], &[flat(4)]);
     let mut cell = cell(&config);
     let entries = ["i0".into(), "i1".into()].into();
@@ -38,7 +38,7 @@
     })
 }
 
-/// The end of an attempt that the owner of epoch 1 granted.
+/// The final report on an attempt granted by the owner of epoch 1.
 fn old_end(number: u128) -> CellInput {
     let grant = Grant {
         attempt: attempt(number),
@@ -67,7 +67,7 @@
 
 #[test]
 fn grants_wait_for_the_census_of_every_entry_and_are_then_exact() {
-    let (mut cell, _) = taken();
+    let (mut cell, _) = taken_over();
     let out = send(&mut cell, at(2), census("i0", &[1]));
     assert_eq!(granted(&out), 0);
     let out = send(&mut cell, at(3), census("i1", &[2]));
@@ -82,7 +82,7 @@
 
 #[test]
 fn an_outcome_before_the_census_that_lists_it_counts_once() {
-    let (mut cell, _) = taken();
+    let (mut cell, _) = taken_over();
     send(&mut cell, at(2), old_end(1));
     assert_eq!(cell.status().accounts[1].service, 50 << 16);
     send(&mut cell, at(3), census("i0", &[1, 2]));
@@ -92,8 +92,8 @@
 }
 
 #[test]
-fn a_young_load_report_bounds_what_an_entry_that_is_gone_may_run() {
-    let (mut cell, _) = taken();
+fn a_recent_load_report_bounds_the_attempts_of_a_lost_entry() {
+    let (mut cell, _) = taken_over();
     send(&mut cell, at(2), census("i0", &[1]));
     let out = send(&mut cell, at(3), CellInput::EntryGone("i1".into()));
     assert_eq!(granted(&out), 0);
@@ -110,8 +110,8 @@
 }
 
 #[test]
-fn without_any_load_report_the_doubt_ends_after_a_minute() {
-    let (mut cell, _) = taken();
+fn without_load_reports_untracked_requests_expire_after_a_minute() {
+    let (mut cell, _) = taken_over();
     send(&mut cell, at(2), census("i0", &[1]));
     send(&mut cell, at(3), CellInput::EntryGone("i1".into()));
     assert_eq!(cell.timer(), Some(at(60_000)));
@@ -120,7 +120,7 @@
 }
 
 #[test]
-fn what_an_entry_ran_that_is_gone_holds_its_slots_until_a_young_load_report() {
+fn attempts_of_a_lost_entry_hold_their_slots_until_a_recent_load_report() {
     let mut cell = cell(&config(&[1], &[flat(2)]));
     let other = Offer {
         entry: "i1".into(),
