--- a/cornelstand/src/gateway/tests/peers.rs
+++ b/cornelstand/src/gateway/tests/peers.rs
@@ -1,4 +1,4 @@
-//! Beats of peers: their order, their silence and what they add up to.
+//! Beats of peers: their order, their absence and their sums.
 
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
@@ -60,16 +60,16 @@
 #[test]
 fn a_late_beat_does_not_replace_a_newer_one() {
     let mut peers = Peers::default();
-    peers.hear(at(0), address(), beat("p", 2, 7));
-    peers.hear(at(1), address(), beat("p", 1, 3));
+    peers.record_beat(at(0), address(), beat("p", 2, 7));
+    peers.record_beat(at(1), address(), beat("p", 1, 3));
     assert_eq!(peers.loads(at(1), &north())[&5].running, 7);
 }
 
 #[test]
 fn loads_of_peers_add_up_and_those_of_silent_ones_do_not_count() {
     let mut peers = Peers::default();
-    peers.hear(at(0), address(), beat("p", 1, 3));
-    peers.hear(at(1_000), address(), beat("q", 1, 4));
+    peers.record_beat(at(0), address(), beat("p", 1, 3));
+    peers.record_beat(at(1_000), address(), beat("q", 1, 4));
     assert_eq!(peers.loads(at(1_000), &north())[&5].running, 7);
     assert_eq!(peers.loads(at(2_000), &north())[&5].running, 4);
     assert_eq!(peers.lost(at(1_400), at(1_600)), [&InstanceName::from("p")]);
@@ -79,7 +79,7 @@
 #[test]
 fn a_silent_peer_still_counts_for_limits() {
     let mut peers = Peers::default();
-    peers.hear(at(0), address(), beat("p", 1, 3));
+    peers.record_beat(at(0), address(), beat("p", 1, 3));
     assert_eq!(peers.count(), 2);
     peers.forget(at(30_000));
     assert_eq!(peers.count(), 2);
@@ -88,19 +88,22 @@
 #[test]
 fn the_newest_configuration_is_found() {
     let mut peers = Peers::default();
-    peers.hear(at(0), address(), beat("p", 3, 1));
-    peers.hear(at(0), address(), beat("q", 5, 1));
-    assert_eq!(peers.ahead(at(0), 4).map(|(version, _)| version), Some(5));
-    assert_eq!(peers.ahead(at(0), 5), None);
+    peers.record_beat(at(0), address(), beat("p", 3, 1));
+    peers.record_beat(at(0), address(), beat("q", 5, 1));
+    assert_eq!(
+        peers.newer_config(at(0), 4).map(|(version, _)| version),
+        Some(5)
+    );
+    assert_eq!(peers.newer_config(at(0), 5), None);
 }
 
 #[test]
 fn a_restarted_peer_begins_anew() {
     let mut peers = Peers::default();
-    peers.hear(at(0), address(), beat("p", 900, 7));
-    let mut again = beat("p", 1, 0);
-    again.incarnation = 2;
-    peers.hear(at(1), address(), again);
+    peers.record_beat(at(0), address(), beat("p", 900, 7));
+    let mut restarted = beat("p", 1, 0);
+    restarted.incarnation = 2;
+    peers.record_beat(at(1), address(), restarted);
     assert_eq!(peers.loads(at(1), &north())[&5].running, 0);
 }
 
@@ -112,7 +115,7 @@
             let mut beat = beat(&format!("{centre}-{i}"), 1, 1);
             beat.centre = CentreName::from(centre);
             beat.cores = if i == 3 { 0.5 } else { 0.12 };
-            peers.hear(
+            peers.record_beat(
                 at(0),
                 ([10, 0, 0, u8::try_from(i).expect("few")], 7_400).into(),
                 beat,
@@ -125,8 +128,8 @@
 #[test]
 fn in_a_small_fleet_every_instance_watches_and_hears_all() {
     let peers = fleet(3);
-    assert!(peers.leads(at(0), &settings("north-9"), false));
-    assert_eq!(peers.listeners(&north()).len(), 6);
+    assert!(peers.is_leader(at(0), &settings("north-9"), false));
+    assert_eq!(peers.beat_targets(&north()).len(), 6);
 }
 
 #[test]
@@ -136,17 +139,17 @@
     small.cores = 0.12;
     let mut large = settings("north-9");
     large.cores = 2.0;
-    assert!(!peers.leads(at(0), &small, false));
-    assert!(peers.leads(at(0), &large, false));
-    assert!(peers.leads(at(5_000), &small, false));
+    assert!(!peers.is_leader(at(0), &small, false));
+    assert!(peers.is_leader(at(0), &large, false));
+    assert!(peers.is_leader(at(5_000), &small, false));
     for i in 0..8 {
         let mut beat = beat(&format!("north-{i}"), 2, 1);
         beat.store_lost = i % 2 != 0;
         beat.stopping = i % 2 == 0;
         beat.cores = 0.5;
-        peers.hear(at(10), address(), beat);
+        peers.record_beat(at(10), address(), beat);
     }
-    assert!(peers.leads(at(10), &small, false));
+    assert!(peers.is_leader(at(10), &small, false));
 }
 
 #[test]
@@ -157,17 +160,17 @@
     let digest = peers.digest(at(0), &own, 1, address());
     assert_eq!((digest.members, digest.loads[0].running), (9, 8 + 5));
     let mut elsewhere = fleet(8);
-    assert!(elsewhere.hear_centre(at(0), digest.clone()));
-    assert!(!elsewhere.hear_centre(at(0), digest));
+    assert!(elsewhere.record_digest(at(0), digest.clone()));
+    assert!(!elsewhere.record_digest(at(0), digest));
     assert_eq!(elsewhere.loads(at(0), &north())[&5].running, 8 + 13);
 }
 
 #[test]
 fn messages_of_a_large_fleet_stay_in_their_data_centre_but_for_the_digests() {
     let peers = fleet(8);
-    assert_eq!(peers.listeners(&north()).len(), 8);
+    assert_eq!(peers.beat_targets(&north()).len(), 8);
     let leaders: Vec<_> = (0..2)
-        .map(|turn| peers.other_leaders(at(0), &north(), turn))
+        .map(|turn| peers.digest_targets(at(0), &north(), turn))
         .collect();
     assert_eq!((leaders[0].len(), leaders[1].len()), (1, 1));
     assert_ne!(leaders[0], leaders[1]);
@@ -183,14 +186,14 @@
         let mut south = beat("south-9", 7, 5);
         south.centre = CentreName::from("south");
         let heard = peers.digest(at(0), &south, 1, address());
-        peers.hear_centre(at(0), heard);
+        peers.record_digest(at(0), heard);
         gate.state.borrow_mut().peers = peers;
         let mut leaders = BTreeSet::new();
         for _ in 0..4 {
             (0..beats).for_each(|_| drop(gate.beat()));
             let digest = gate.digest();
             let state = gate.state.borrow();
-            leaders.extend(state.peers.other_leaders(at(0), &north(), digest.order.1));
+            leaders.extend(state.peers.digest_targets(at(0), &north(), digest.order.1));
         }
         assert!(leaders.len() > 1, "{beats} beats between: {leaders:?}");
     }
@@ -203,10 +206,13 @@
     own.centre = CentreName::from("south");
     own.version = 9;
     let digest = peers.digest(at(0), &own, 1, address());
-    assert_eq!(peers.ahead(at(0), 4), None);
-    peers.hear_centre(at(0), digest);
-    assert_eq!(peers.ahead(at(0), 4).map(|(version, _)| version), Some(9));
-    assert_eq!(peers.ahead(at(2_000), 4), None);
+    assert_eq!(peers.newer_config(at(0), 4), None);
+    peers.record_digest(at(0), digest);
+    assert_eq!(
+        peers.newer_config(at(0), 4).map(|(version, _)| version),
+        Some(9)
+    );
+    assert_eq!(peers.newer_config(at(2_000), 4), None);
 }
 
 #[test]
@@ -214,31 +220,31 @@
     let mut peers = fleet(8);
     let mut second = settings("north-9");
     second.cores = 0.3;
-    assert!(!peers.leads(at(0), &second, false) && peers.watches(at(0), &second, false));
+    assert!(!peers.is_leader(at(0), &second, false) && peers.watches_store(at(0), &second, false));
     let mut third = settings("north-8");
     third.cores = 0.25;
     let mut beat = beat("north-9", 1, 1);
     beat.cores = 0.3;
-    peers.hear(at(0), address(), beat);
-    assert!(!peers.watches(at(0), &third, false));
+    peers.record_beat(at(0), address(), beat);
+    assert!(!peers.watches_store(at(0), &third, false));
 }
 
 #[test]
 fn the_store_was_there_as_long_as_for_the_peer_that_had_it_longest() {
     let mut peers = fleet(3);
-    let mut cut = beat("north-7", 1, 1);
-    cut.store_time = None;
-    peers.hear(at(0), address(), cut);
-    let south = CentreName::from("elsewhere");
+    let mut disconnected = beat("north-7", 1, 1);
+    disconnected.store_time = None;
+    peers.record_beat(at(0), address(), disconnected);
+    let elsewhere = CentreName::from("elsewhere");
     assert_eq!(
         peers.store_time(at(0), &north()),
         Some(Duration::from_secs(9))
     );
-    assert_eq!(peers.store_time(at(0), &south), None);
+    assert_eq!(peers.store_time(at(0), &elsewhere), None);
 }
 
-/// large/tessel-counter-large: when the two watching instances lost the store, all others of the data
-/// centre began to ask it and to lead, up to 14,803 calls on a day.
+/// Guards against all instances of a data centre calling the store, and leading, after its two
+/// watchers lost the store: up to 14,803 calls on a day.
 #[test]
 fn while_the_store_is_away_two_instances_at_a_time_ask_it() {
     let names: Vec<String> = (0..30).map(|i| format!("north-{i}")).collect();
@@ -250,12 +256,12 @@
             number += 1;
             let mut beat = beat(name, number, 1);
             (beat.store_time, beat.store_lost) = (None, *is_lost);
-            peers.hear(at(round), address(), beat);
+            peers.record_beat(at(round), address(), beat);
         }
         let watching = (0..names.len()).filter(|i| {
             let mut own = settings(&names[*i]);
             own.cores = 0.25;
-            peers.watches(at(round), &own, lost[*i])
+            peers.watches_store(at(round), &own, lost[*i])
         });
         let watching: Vec<usize> = watching.collect();
         assert_eq!(watching.len(), 2, "round {round}");
