--- a/cornelstand/src/gateway/admin.rs
+++ b/cornelstand/src/gateway/admin.rs
@@ -1,4 +1,4 @@
-//! Readiness for the balancer, and metrics and beliefs for operators and peers.
+//! Readiness endpoint for the load balancer, and metrics and state for operators and peers.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -7,30 +7,30 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::time::{Instant, timeout_at};
 
-use crate::gateway::connection::accepted;
+use crate::gateway::connection::accept_next;
 use crate::gateway::gate::Gate;
 use crate::gateway::message::{Head, reason};
 use crate::gateway::outlet::write_all;
 use crate::gateway::upstream::read_into;
 
-/// Largest head of a question, in bytes.
-const HEAD_BYTES: usize = 8 * 1024;
-/// Longest time until the next question on a connection is complete.
+/// Largest request head, in bytes.
+const MAX_HEAD_BYTES: usize = 8 * 1024;
+/// Time limit for the next request on a connection.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// What a listener answers.
+/// Pages that a listener serves.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub(crate) enum Role {
-    /// Whether callers should be sent here, whatever the path.
+    /// Readiness of the instance, at any path.
     Readiness,
-    /// Metrics and beliefs by path.
+    /// `/metrics`, and the instance's view of configuration and endpoints at `/beliefs`.
     Control,
 }
 
-/// Answers questions until the process ends.
+/// Accepts connections until the process ends.
 pub(crate) async fn accept(gate: Rc<Gate>, listener: TcpListener, role: Role) {
     loop {
-        let stream = accepted(&listener).await;
+        let stream = accept_next(&listener).await;
         tokio::task::spawn_local(serve(gate.clone(), stream, role));
     }
 }
@@ -39,7 +39,7 @@
     let mut input = BytesMut::new();
     let mut until = Instant::now() + IDLE_TIMEOUT;
     loop {
-        let head = match Head::request(&mut input, HEAD_BYTES) {
+        let head = match Head::request(&mut input, MAX_HEAD_BYTES) {
             Ok(Some(head)) => head,
             Ok(None) => match timeout_at(until, read_into(&stream, &mut input)).await {
                 Ok(Ok(count)) if count > 0 => continue,
@@ -47,7 +47,7 @@
             },
             Err(_) => return,
         };
-        let (status, media, body) = answer(&gate, role, head.target());
+        let (status, media, body) = page(&gate, role, head.target());
         let length = body.len();
         let phrase = reason(status);
         let mut out = format!(
@@ -62,7 +62,7 @@
     }
 }
 
-fn answer(gate: &Gate, role: Role, path: &str) -> (u16, &'static str, Vec<u8>) {
+fn page(gate: &Gate, role: Role, path: &str) -> (u16, &'static str, Vec<u8>) {
     const TEXT: &str = "text/plain; version=0.0.4";
     match (role, path) {
         (Role::Readiness, _) if gate.is_ready() => (200, TEXT, b"ready\n".to_vec()),
