--- a/cornelstand/src/gateway/containment.rs
+++ b/cornelstand/src/gateway/containment.rs
@@ -24,7 +24,7 @@
 pub(crate) enum Source {
     /// Observed by this instance.
     Own,
-    Beat,
+    Heartbeat,
     Digest,
     Alarm,
 }
@@ -34,7 +34,7 @@
     fn name(self) -> &'static str {
         match self {
             Self::Own => "own",
-            Self::Beat => "beat",
+            Self::Heartbeat => "beat",
             Self::Digest => "digest",
             Self::Alarm => "alarm",
         }
@@ -91,7 +91,7 @@
             crashes = evidence.crashes,
         );
         drop(state);
-        self.beat_trigger.notify_one();
+        self.heartbeat_trigger.notify_one();
         if evidence.is_refused {
             self.alarm_trigger.notify_one();
         }
@@ -139,7 +139,7 @@
             });
             // The peer knows too few crashes to refuse it, and is sent them again.
             if evidence.is_refused && received.crashes.len() < MAX_CRASHES {
-                self.suspicion_news.resend(now, source, request);
+                self.suspicion_updates.resend(now, source, request);
             }
         }
     }
@@ -160,7 +160,7 @@
             return after;
         }
         metrics.suspicions.with_label_values(&[source.name()]).inc();
-        self.suspicion_news
+        self.suspicion_updates
             .push(now, source, request, after.is_refused);
         let (crashes, fingerprint) = (after.crashes, request);
         let event = match (before.is_refused, after.is_refused) {
--- a/cornelstand/src/gateway/daemon.rs
+++ b/cornelstand/src/gateway/daemon.rs
@@ -179,7 +179,7 @@
     }
     spawn(Box::pin(follow_instances(gate.clone())));
     spawn(Box::pin(follow_peers(gate.clone())));
-    spawn(Box::pin(peers_link::send_beats(
+    spawn(Box::pin(peers_link::send_heartbeats(
         gate.clone(),
         peers.clone(),
     )));
@@ -191,7 +191,7 @@
         gate.clone(),
         peers.clone(),
     )));
-    spawn(Box::pin(peers_link::hear_beats(
+    spawn(Box::pin(peers_link::receive_messages(
         gate.clone(),
         peers.clone(),
     )));
@@ -283,7 +283,7 @@
         active = gate.active.get(),
         grace_ms = grace.as_millis()
     );
-    peers_link::send_beat(gate, peers);
+    peers_link::send_heartbeat(gate, peers);
     let gate_clone = gate.clone();
     tokio::task::spawn_local(async move {
         if timeout(DEREGISTER_TIMEOUT, deregister(&gate_clone))
--- a/cornelstand/src/gateway/follow.rs
+++ b/cornelstand/src/gateway/follow.rs
@@ -33,7 +33,7 @@
 /// Delay after a change of the endpoints, which batches changes close together into one call; far
 /// below the time in which an endpoint that leaves has to be known.
 const CHANGE_BATCH_DELAY: Duration = Duration::from_millis(150);
-/// Time after the first listing of instances until beats have established the leader.
+/// Time after the first listing of instances until heartbeats have established the leader.
 const LEADER_SETTLE_TIME: Duration = Duration::from_millis(700);
 /// Interval of listing the instances at one that does not lead.
 const FOLLOWER_LIST_PERIOD: Duration = Duration::from_mins(1);
@@ -43,7 +43,7 @@
 const RETRY_DELAY_MAX: Duration = Duration::from_millis(500);
 /// Longest delay after a failed call for the fleet's own entries, which every instance makes.
 const INSTANCE_RETRY_DELAY_MAX: Duration = Duration::from_secs(4);
-/// Interval of listing the instances at a leader. New ones also announce themselves by beats.
+/// Interval of listing the instances at a leader. New ones also announce themselves by heartbeats.
 const LEADER_LIST_PERIOD: Duration = Duration::from_secs(10);
 /// Interval of checking the peers for newer state.
 const PEER_CHECK_PERIOD: Duration = Duration::from_millis(100);
@@ -75,7 +75,7 @@
 
 /// Follows one kind until the process ends.
 pub(crate) async fn follow(gate: Rc<Gate>, followed: Followed) {
-    // The first beats determine the leader.
+    // The first heartbeats determine the leader.
     while !gate.discovery_done.get() {
         sleep(PEER_CHECK_PERIOD).await;
     }
@@ -235,14 +235,14 @@
     let has_changed = state.directory.mark_evacuations(revision);
     drop(state);
     if has_changed {
-        gate.beat_trigger.notify_one();
+        gate.heartbeat_trigger.notify_one();
     }
 }
 
 /// Notifies the peers if endpoints have changed.
 fn announce_endpoints(gate: &Gate, revision: u64) {
     if gate.state.borrow_mut().directory.mark_endpoints(revision) {
-        gate.beat_trigger.notify_one();
+        gate.heartbeat_trigger.notify_one();
     }
 }
 
@@ -445,7 +445,7 @@
     let changes = state.directory.adopt(gate.now(), beliefs);
     drop(state);
     gate.apply(changes);
-    gate.beat_trigger.notify_one();
+    gate.heartbeat_trigger.notify_one();
 }
 
 async fn fetch_beliefs(address: SocketAddr) -> Result<Beliefs, String> {
--- a/cornelstand/src/gateway/gate.rs
+++ b/cornelstand/src/gateway/gate.rs
@@ -17,10 +17,10 @@
 use crate::gateway::number::{float, gauge, short};
 use crate::gateway::outputs::Outputs;
 use crate::gateway::pauses::PauseWatch;
-use crate::gateway::peers::{Beat, Digest, News, PeerLoad, Peers};
+use crate::gateway::peers::{Digest, Heartbeat, PeerLoad, Peers, Updates};
 use crate::gateway::placement::{EndpointIndex, Endpoints, Place, PlaceEnd, PlacementRules};
 use crate::gateway::settings::{GatewaySettings, peer_address};
-use crate::gateway::suspicion_news::{Outbox, SuspicionNews};
+use crate::gateway::suspicion_news::{Outbox, SuspicionUpdates};
 use crate::gateway::upstream::Pool;
 use crate::moment::{Clock, Moment};
 use crate::name::{AccountName, ServiceName};
@@ -47,11 +47,11 @@
     pub(crate) retries: RetryShare,
     pub(crate) peers: Peers,
     pub(crate) suspects: Suspects,
-    pub(crate) suspicion_news: SuspicionNews,
+    pub(crate) suspicion_updates: SuspicionUpdates,
     pub(crate) pool: Pool,
     pub(crate) outputs: Outputs,
     waiters: HashMap<WaitId, Waiter>,
-    beat_count: u64,
+    heartbeat_count: u64,
     digest_count: u64,
 }
 
@@ -98,8 +98,8 @@
     pub(crate) activity: Cell<f64>,
     /// Whether the first attempt to discover peers is over.
     pub(crate) discovery_done: Cell<bool>,
-    /// Wakes the beat sender when peers should learn of a change at once.
-    pub(crate) beat_trigger: Notify,
+    /// Wakes the heartbeat sender when peers should learn of a change at once.
+    pub(crate) heartbeat_trigger: Notify,
     /// Wakes the alarm sender.
     pub(crate) alarm_trigger: Notify,
     pub(crate) connections: Cell<usize>,
@@ -140,11 +140,11 @@
                 retries: RetryShare::default(),
                 peers: Peers::default(),
                 suspects: Suspects::default(),
-                suspicion_news: SuspicionNews::default(),
+                suspicion_updates: SuspicionUpdates::default(),
                 pool: Pool::default(),
                 outputs: Outputs::default(),
                 waiters: HashMap::new(),
-                beat_count: 0,
+                heartbeat_count: 0,
                 digest_count: 0,
             }),
             stopping: Cell::new(false),
@@ -154,7 +154,7 @@
             lag: Cell::new(0.0),
             activity: Cell::new(0.0),
             discovery_done: Cell::new(false),
-            beat_trigger: Notify::new(),
+            heartbeat_trigger: Notify::new(),
             alarm_trigger: Notify::new(),
             connections: Cell::new(0),
             pauses: PauseWatch::default(),
@@ -246,7 +246,7 @@
         };
         place.charged = waiting.cost();
         if place.prompt_tokens() >= URGENT_PROMPT_TOKENS {
-            self.beat_trigger.notify_one();
+            self.heartbeat_trigger.notify_one();
         }
         state.admission.remove(id);
         state.admission.charge(now, &waiting);
@@ -290,7 +290,7 @@
         }
         drop(state);
         if starts_leaving {
-            self.beat_trigger.notify_one();
+            self.heartbeat_trigger.notify_one();
         }
     }
 
@@ -317,7 +317,7 @@
     pub(crate) fn begin(&self, place: &mut Place) {
         self.state.borrow_mut().endpoints.begin(self.now(), place);
         if place.prompt_tokens() >= URGENT_PROMPT_TOKENS {
-            self.beat_trigger.notify_one();
+            self.heartbeat_trigger.notify_one();
         }
         self.request_queue_pass();
     }
@@ -431,16 +431,16 @@
     /// Applies a digest of another data centre. Returns whether it is new.
     pub(crate) fn receive_digest(&self, digest: Digest) -> bool {
         let now = self.now();
-        self.metrics.beats.inc();
+        self.metrics.heartbeats.inc();
         let mut state = self.state.borrow_mut();
-        self.apply_news(&mut state, now, Source::Digest, &digest.news);
+        self.apply_updates(&mut state, now, Source::Digest, &digest.updates);
         state.peers.record_digest(now, digest)
     }
 
     /// Builds the digest of this data centre.
     pub(crate) fn digest(&self) -> Digest {
         let now = self.now();
-        let own = self.build_beat(now, |news| &mut news.digests);
+        let own = self.build_heartbeat(now, |updates| &mut updates.digests);
         let sender = peer_address(&self.settings.borrow());
         let mut state = self.state.borrow_mut();
         state.digest_count += 1;
@@ -452,8 +452,8 @@
         let now = self.now();
         let mut state = self.state.borrow_mut();
         let state = &mut *state;
-        let outbox = &mut state.suspicion_news.alarms;
-        let suspicions = outbox.take_news(now, &state.suspects);
+        let outbox = &mut state.suspicion_updates.alarms;
+        let suspicions = outbox.take_updates(now, &state.suspects);
         self.metrics.untold.inc_by(outbox.take_unsent());
         suspicions
     }
@@ -465,27 +465,27 @@
         state.merge_suspicions(&self.metrics, now, Source::Alarm, suspicions);
     }
 
-    /// Applies a beat of a peer.
-    pub(crate) fn hear(&self, address: std::net::SocketAddr, beat: Beat) {
+    /// Applies a heartbeat of a peer.
+    pub(crate) fn hear(&self, address: std::net::SocketAddr, heartbeat: Heartbeat) {
         let now = self.now();
-        self.metrics.beats.inc();
+        self.metrics.heartbeats.inc();
         let mut state = self.state.borrow_mut();
         let state = &mut *state;
-        self.apply_news(state, now, Source::Beat, &beat.news);
-        let name = beat.instance.clone();
-        let is_same_centre = beat.centre == self.settings.borrow().centre;
-        if state.peers.record_beat(now, address, beat) && is_same_centre {
+        self.apply_updates(state, now, Source::Heartbeat, &heartbeat.updates);
+        let name = heartbeat.instance.clone();
+        let is_same_centre = heartbeat.centre == self.settings.borrow().centre;
+        if state.peers.record_heartbeat(now, address, heartbeat) && is_same_centre {
             tracing::info!(event = "peer_heard", peer = %name, %address);
         }
     }
 
-    /// Applies the news of a beat or a digest.
-    fn apply_news(&self, state: &mut State, now: Moment, source: Source, news: &News) {
-        let News {
+    /// Applies the updates of a heartbeat or a digest.
+    fn apply_updates(&self, state: &mut State, now: Moment, source: Source, updates: &Updates) {
+        let Updates {
             suspicions,
             leaving,
             residents,
-        } = news;
+        } = updates;
         state.merge_suspicions(&self.metrics, now, source, suspicions);
         note_leaving(state, now, leaving);
         state.endpoints.hear_residents(now, residents);
@@ -510,18 +510,22 @@
             .set_wanting(state.peers.wanting(now, centre));
     }
 
-    /// Builds the next beat.
-    pub(crate) fn beat(&self) -> Beat {
-        self.build_beat(self.now(), |news| &mut news.beats)
+    /// Builds the next heartbeat.
+    pub(crate) fn heartbeat(&self) -> Heartbeat {
+        self.build_heartbeat(self.now(), |updates| &mut updates.heartbeats)
     }
 
-    /// Builds a beat with this instance's state and the suspicions due in `outbox`.
-    fn build_beat(&self, now: Moment, outbox: impl Fn(&mut SuspicionNews) -> &mut Outbox) -> Beat {
+    /// Builds a heartbeat with this instance's state and the suspicions due in `outbox`.
+    fn build_heartbeat(
+        &self,
+        now: Moment,
+        outbox: impl Fn(&mut SuspicionUpdates) -> &mut Outbox,
+    ) -> Heartbeat {
         let settings = self.settings.borrow();
         let mut state = self.state.borrow_mut();
         let state = &mut *state;
-        state.beat_count += 1;
-        let outbox = outbox(&mut state.suspicion_news);
+        state.heartbeat_count += 1;
+        let outbox = outbox(&mut state.suspicion_updates);
         let suspicions = outbox.take(now, &state.suspects);
         self.metrics.untold.inc_by(outbox.take_unsent());
         let loads = state.endpoints.own_loads();
@@ -529,13 +533,13 @@
         let wanting = state.admission.wanting(now);
         let attained = state.admission.own(now);
         let attained = attained.filter(|(_, sum)| *sum >= 1.0);
-        Beat {
+        Heartbeat {
             instance: settings.instance.clone(),
             centre: settings.centre.clone(),
             cores: settings.cores,
             activity: short(self.activity.get()),
             incarnation: self.incarnation,
-            number: state.beat_count,
+            number: state.heartbeat_count,
             store_time: state.directory.store_time(now),
             store_lost: state.directory.is_store_lost(now),
             marks: state.directory.marks(),
@@ -552,7 +556,7 @@
                 .own_times()
                 .map(|(s, time)| (s.clone(), short(time)))
                 .collect(),
-            news: News {
+            updates: Updates {
                 suspicions,
                 leaving: state.endpoints.leaving(now),
                 residents: state.endpoints.residents(now),
--- a/cornelstand/src/gateway/metrics.rs
+++ b/cornelstand/src/gateway/metrics.rs
@@ -19,7 +19,7 @@
     pub(crate) retries: IntCounter,
     pub(crate) lost_responses: IntCounter,
     pub(crate) store_calls: IntCounterVec,
-    pub(crate) beats: IntCounter,
+    pub(crate) heartbeats: IntCounter,
     /// Changes to the crash suspicions against requests, by source.
     pub(crate) suspicions: IntCounterVec,
     /// Recent suspicions that did not fit into a message.
@@ -78,7 +78,7 @@
                 "Calls to the store",
                 "result",
             )?,
-            beats: counter("cornelstand_beats_total", "Beats of peers taken in")?,
+            heartbeats: counter("cornelstand_beats_total", "Beats of peers taken in")?,
             suspicions: counters(
                 "cornelstand_suspicions_total",
                 "Changes of what is held against requests",
--- a/cornelstand/src/gateway/peers.rs
+++ b/cornelstand/src/gateway/peers.rs
@@ -1,10 +1,10 @@
-//! State of the peers of an instance, from the beats that instances exchange.
+//! State of the peers of an instance, from the heartbeats that instances exchange.
 //!
-//! A beat carries the whole state that the sender shares, so that a lost one costs only freshness.
-//! Peers are found in the platform's store and by the beats they send. In a small fleet beats go to
-//! all. In a larger one they stay in their data centre, and its leader sends their sum to the other
-//! data centres as a digest, which is forwarded there: so the messages per instance grow with its
-//! data centre and not with the fleet.
+//! A heartbeat carries the whole state that the sender shares, so that a lost one costs only
+//! freshness. Peers are found in the platform's store and by the heartbeats they send. In a small
+//! fleet heartbeats go to all. In a larger one they stay in their data centre, and its leader sends
+//! their sum to the other data centres as a digest, which is forwarded there: so the messages per
+//! instance grow with its data centre and not with the fleet.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -22,21 +22,22 @@
 use crate::name::{AccountName, CentreName, InstanceName, ServiceName};
 use crate::suspect::Suspicion;
 
-/// Time without beats after which the load of a peer no longer counts: its connections are closed
-/// or their requests have ended.
+/// Time without heartbeats after which the load of a peer no longer counts: its connections are
+/// closed or their requests have ended.
 const SILENCE_TIMEOUT: Duration = Duration::from_millis(1_500);
-/// Time without beats after which a peer is removed.
+/// Time without heartbeats after which a peer is removed.
 const PEER_RETENTION: Duration = Duration::from_mins(1);
 
 /// Instances of a data centre that watch the store in a large fleet.
 const STORE_WATCHERS: usize = 2;
 
-/// Number of peers from which data centres exchange digests: with fewer, beats to all cost less.
+/// Number of peers from which data centres exchange digests: with fewer, heartbeats to all cost
+/// less.
 const LARGE_FLEET_PEERS: usize = 12;
 
 /// State that an instance shares with its peers.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
-pub(crate) struct Beat {
+pub(crate) struct Heartbeat {
     pub(crate) instance: InstanceName,
     pub(crate) centre: CentreName,
     /// Processor cores of the sender.
@@ -64,12 +65,13 @@
     /// Longest token intervals at which long answers still end in time, in milliseconds, as seen at
     /// the sender, by service.
     pub(crate) token_times: Vec<(ServiceName, f32)>,
-    pub(crate) news: News,
+    #[serde(rename = "news")]
+    pub(crate) updates: Updates,
 }
 
 /// Updates that the receivers keep, in contrast to the sender's current state.
 #[derive(Clone, Debug, Default, Deserialize, PartialEq, Serialize)]
-pub(crate) struct News {
+pub(crate) struct Updates {
     /// Requests suspected of crashes.
     pub(crate) suspicions: Vec<Suspicion>,
     /// Endpoints that recently announced that they leave, by [`endpoint_key`].
@@ -124,13 +126,15 @@
     pub(crate) loads: Vec<PeerLoad>,
     pub(crate) attained: Vec<(AccountName, f32)>,
     pub(crate) wanting: Vec<(ServiceName, Vec<Want>)>,
-    pub(crate) news: News,
+    #[serde(rename = "news")]
+    pub(crate) updates: Updates,
 }
 
 /// A message between instances.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 pub(crate) enum Message {
-    Beat(Beat),
+    #[serde(rename = "Beat")]
+    Heartbeat(Heartbeat),
     Digest(Digest),
     /// Suspicions that all peers need before a caller can retry.
     Alarm(Vec<Suspicion>),
@@ -142,7 +146,7 @@
     centre: CentreName,
     cores: f32,
     last_heard: Option<Moment>,
-    beat: Option<Beat>,
+    heartbeat: Option<Heartbeat>,
 }
 
 /// All known peers.
@@ -176,30 +180,42 @@
             centre,
             cores,
             last_heard: None,
-            beat: None,
+            heartbeat: None,
         });
     }
 
-    /// Records a beat. Returns whether its sender was silent before.
-    pub(crate) fn record_beat(&mut self, now: Moment, address: SocketAddr, beat: Beat) -> bool {
-        let peer = self.peers.entry(beat.instance.clone()).or_insert(Peer {
-            address,
-            centre: beat.centre.clone(),
-            cores: beat.cores,
-            last_heard: None,
-            beat: None,
-        });
-        let order = |b: &Beat| (b.incarnation, b.number);
-        if peer.beat.as_ref().is_some_and(|b| order(b) >= order(&beat)) {
+    /// Records a heartbeat. Returns whether its sender was silent before.
+    pub(crate) fn record_heartbeat(
+        &mut self,
+        now: Moment,
+        address: SocketAddr,
+        heartbeat: Heartbeat,
+    ) -> bool {
+        let peer = self
+            .peers
+            .entry(heartbeat.instance.clone())
+            .or_insert(Peer {
+                address,
+                centre: heartbeat.centre.clone(),
+                cores: heartbeat.cores,
+                last_heard: None,
+                heartbeat: None,
+            });
+        let order = |b: &Heartbeat| (b.incarnation, b.number);
+        if peer
+            .heartbeat
+            .as_ref()
+            .is_some_and(|b| order(b) >= order(&heartbeat))
+        {
             return false;
         }
         let was_silent = peer
             .last_heard
             .is_none_or(|h| now.since(h) >= SILENCE_TIMEOUT);
         peer.address = address;
-        peer.cores = beat.cores;
+        peer.cores = heartbeat.cores;
         peer.last_heard = Some(now);
-        peer.beat = Some(beat);
+        peer.heartbeat = Some(heartbeat);
         was_silent
     }
 
@@ -253,20 +269,20 @@
         neighbours.filter_map(|b| b.store_time).max()
     }
 
-    /// Builds the digest of a data centre with this number from the beats of its live instances and
-    /// the `own` one of `sender`.
+    /// Builds the digest of a data centre with this number from the heartbeats of its live
+    /// instances and the `own` one of `sender`.
     pub(crate) fn digest(
         &self,
         now: Moment,
-        own: &Beat,
+        own: &Heartbeat,
         number: u64,
         sender: SocketAddr,
     ) -> Digest {
         let neighbours = self.live(now).filter(|b| b.centre == own.centre);
-        let beats: Vec<&Beat> = neighbours.chain([own]).collect();
-        let loads = sum_loads(beats.iter().flat_map(|b| &b.loads));
-        let attained = sum_attained(beats.iter().flat_map(|b| &b.attained));
-        let wanting = merge_wanting(beats.iter().flat_map(|b| &b.wanting));
+        let heartbeats: Vec<&Heartbeat> = neighbours.chain([own]).collect();
+        let loads = sum_loads(heartbeats.iter().flat_map(|b| &b.loads));
+        let attained = sum_attained(heartbeats.iter().flat_map(|b| &b.attained));
+        let wanting = merge_wanting(heartbeats.iter().flat_map(|b| &b.wanting));
         let members = self.peers.values().filter(|p| p.centre == own.centre);
         Digest {
             members: members.count() + 1,
@@ -282,10 +298,10 @@
                 .into_iter()
                 .map(|(s, wants)| (s, join_wants(wants)))
                 .collect(),
-            news: News {
-                suspicions: own.news.suspicions.clone(),
-                leaving: own.news.leaving.clone(),
-                residents: join_residents(beats.iter().flat_map(|b| &b.news.residents)),
+            updates: Updates {
+                suspicions: own.updates.suspicions.clone(),
+                leaving: own.updates.leaving.clone(),
+                residents: join_residents(heartbeats.iter().flat_map(|b| &b.updates.residents)),
             },
             order: (own.incarnation, number),
             sender,
@@ -324,8 +340,8 @@
         others.into_iter().filter_map(pick).collect()
     }
 
-    /// Addresses to which beats are sent.
-    pub(crate) fn beat_targets(&self, centre: &CentreName) -> Vec<SocketAddr> {
+    /// Addresses to which heartbeats are sent.
+    pub(crate) fn heartbeat_targets(&self, centre: &CentreName) -> Vec<SocketAddr> {
         let is_large = self.is_large();
         let neighbours = self
             .peers
@@ -359,13 +375,13 @@
             .retain(|_, p| p.last_heard.is_none_or(|h| now.since(h) < PEER_RETENTION));
     }
 
-    /// Beats of peers that are not silent.
-    pub(crate) fn live(&self, now: Moment) -> impl Iterator<Item = &Beat> {
+    /// Heartbeats of peers that are not silent.
+    pub(crate) fn live(&self, now: Moment) -> impl Iterator<Item = &Heartbeat> {
         let is_live = move |p: &&Peer| p.last_heard.is_some_and(|h| now.since(h) < SILENCE_TIMEOUT);
         self.peers
             .values()
             .filter(is_live)
-            .filter_map(|p| p.beat.as_ref())
+            .filter_map(|p| p.heartbeat.as_ref())
     }
 
     /// Number of instances that may be running, with silent ones and this one.
@@ -388,8 +404,12 @@
         fresh.map(|(_, d)| d).filter(move |d| d.centre != *centre)
     }
 
-    /// Live beats that no fresh digest covers.
-    fn undigested_beats(&self, now: Moment, centre: &CentreName) -> impl Iterator<Item = &Beat> {
+    /// Live heartbeats that no fresh digest covers.
+    fn undigested_heartbeats(
+        &self,
+        now: Moment,
+        centre: &CentreName,
+    ) -> impl Iterator<Item = &Heartbeat> {
         let is_digested =
             move |c: &CentreName| self.fresh_digests(now, centre).any(|d| d.centre == *c);
         self.live(now).filter(move |b| !is_digested(&b.centre))
@@ -397,14 +417,18 @@
 
     /// Load of all live peers, by [`endpoint_key`], as seen in `centre`.
     pub(crate) fn loads(&self, now: Moment, centre: &CentreName) -> HashMap<u32, Load> {
-        let beats = self.undigested_beats(now, centre).flat_map(|b| &b.loads);
-        sum_loads(beats.chain(self.fresh_digests(now, centre).flat_map(|d| &d.loads)))
+        let heartbeats = self
+            .undigested_heartbeats(now, centre)
+            .flat_map(|b| &b.loads);
+        sum_loads(heartbeats.chain(self.fresh_digests(now, centre).flat_map(|d| &d.loads)))
     }
 
     /// Usage that accounts attained through all live peers.
     pub(crate) fn attained(&self, now: Moment, centre: &CentreName) -> HashMap<AccountName, f64> {
-        let beats = self.undigested_beats(now, centre).flat_map(|b| &b.attained);
-        sum_attained(beats.chain(self.fresh_digests(now, centre).flat_map(|d| &d.attained)))
+        let heartbeats = self
+            .undigested_heartbeats(now, centre)
+            .flat_map(|b| &b.attained);
+        sum_attained(heartbeats.chain(self.fresh_digests(now, centre).flat_map(|d| &d.attained)))
     }
 
     /// Demand of accounts at live peers, by service.
@@ -413,8 +437,10 @@
         now: Moment,
         centre: &CentreName,
     ) -> HashMap<ServiceName, Vec<Want>> {
-        let beats = self.undigested_beats(now, centre).flat_map(|b| &b.wanting);
-        merge_wanting(beats.chain(self.fresh_digests(now, centre).flat_map(|d| &d.wanting)))
+        let heartbeats = self
+            .undigested_heartbeats(now, centre)
+            .flat_map(|b| &b.wanting);
+        merge_wanting(heartbeats.chain(self.fresh_digests(now, centre).flat_map(|d| &d.wanting)))
     }
 
     /// Instance of `centre` with newer endpoints or evacuations than `marks`.
@@ -426,7 +452,7 @@
     ) -> Option<SocketAddr> {
         let neighbours = self.live(now).filter(|b| b.centre == *centre);
         let newer = neighbours.filter(|b| b.marks.are_newer(marks));
-        let revisions = |b: &&Beat| (b.marks.evacuations.revision, b.marks.endpoints.revision);
+        let revisions = |b: &&Heartbeat| (b.marks.evacuations.revision, b.marks.endpoints.revision);
         newer.max_by_key(revisions).map(|b| b.beliefs)
     }
 
--- a/cornelstand/src/gateway/peers_link.rs
+++ b/cornelstand/src/gateway/peers_link.rs
@@ -11,44 +11,44 @@
 use crate::gateway::number::float;
 use crate::gateway::peers::Message;
 
-/// Beat interval in a small fleet, which bounds the age of the state behind peers' decisions.
-const BEAT_PERIOD: Duration = Duration::from_millis(40);
-/// Longest beat interval; well below the silence after which a peer counts as lost.
-const BEAT_PERIOD_MAX: Duration = Duration::from_millis(500);
+/// Heartbeat interval in a small fleet, which bounds the age of the state behind peers' decisions.
+const HEARTBEAT_PERIOD: Duration = Duration::from_millis(40);
+/// Longest heartbeat interval; well below the silence after which a peer counts as lost.
+const HEARTBEAT_PERIOD_MAX: Duration = Duration::from_millis(500);
 /// Datagrams that an instance handles per second from its data centre: some 2% of a small CPU.
 const DATAGRAMS_PER_S: f64 = 150.0;
 /// Digest interval of a data centre.
 pub(crate) const DIGEST_PERIOD: Duration = Duration::from_millis(80);
 const MAX_DATAGRAM_BYTES: usize = 60 * 1024;
 
-/// Sends beats until the process ends.
-pub(crate) async fn send_beats(gate: Rc<Gate>, socket: Rc<UdpSocket>) {
+/// Sends heartbeats until the process ends.
+pub(crate) async fn send_heartbeats(gate: Rc<Gate>, socket: Rc<UdpSocket>) {
     loop {
-        let period = beat_period(&gate);
-        sleep(BEAT_PERIOD).await;
-        // A timeout is the usual case: there was no news.
+        let period = heartbeat_period(&gate);
+        sleep(HEARTBEAT_PERIOD).await;
+        // A timeout is the usual case: there was nothing urgent.
         let _ = timeout(
-            period.saturating_sub(BEAT_PERIOD),
-            gate.beat_trigger.notified(),
+            period.saturating_sub(HEARTBEAT_PERIOD),
+            gate.heartbeat_trigger.notified(),
         )
         .await;
-        send_beat(&gate, &socket);
+        send_heartbeat(&gate, &socket);
     }
 }
 
-/// Time until the next beat. The instances of a data centre share a fixed total rate; busier ones
-/// send more often, because their state matters more to others.
-pub(crate) fn beat_period(gate: &Gate) -> Duration {
+/// Time until the next heartbeat. The instances of a data centre share a fixed total rate; busier
+/// ones send more often, because their state matters more to others.
+pub(crate) fn heartbeat_period(gate: &Gate) -> Duration {
     let centre = gate.settings.borrow().centre.clone();
     let state = gate.state.borrow();
-    let targets = state.peers.beat_targets(&centre).len();
+    let targets = state.peers.heartbeat_targets(&centre).len();
     if !state.peers.is_large() || targets == 0 {
-        return BEAT_PERIOD;
+        return HEARTBEAT_PERIOD;
     }
     let own = gate.activity.get() + 1.0;
     let all = state.peers.activity(gate.now(), &centre) + own + float(targets);
     let rate = DATAGRAMS_PER_S * own / all;
-    Duration::from_secs_f64(1.0 / rate).clamp(BEAT_PERIOD, BEAT_PERIOD_MAX)
+    Duration::from_secs_f64(1.0 / rate).clamp(HEARTBEAT_PERIOD, HEARTBEAT_PERIOD_MAX)
 }
 
 /// A message and its receivers.
@@ -70,11 +70,15 @@
     }
 }
 
-/// The beat to send now.
-pub(crate) fn beat_packet(gate: &Gate) -> Option<Packet> {
-    let beat = gate.beat();
-    let targets = gate.state.borrow().peers.beat_targets(&beat.centre);
-    Packet::new(&Message::Beat(beat), targets)
+/// The heartbeat to send now.
+pub(crate) fn heartbeat_packet(gate: &Gate) -> Option<Packet> {
+    let heartbeat = gate.heartbeat();
+    let targets = gate
+        .state
+        .borrow()
+        .peers
+        .heartbeat_targets(&heartbeat.centre);
+    Packet::new(&Message::Heartbeat(heartbeat), targets)
 }
 
 /// The digest to send now, if this instance is the leader of its data centre in a large fleet.
@@ -83,7 +87,7 @@
         let now = gate.now();
         gate.state
             .borrow_mut()
-            .suspicion_news
+            .suspicion_updates
             .digests
             .drop_expired(now);
         return None;
@@ -117,13 +121,13 @@
         }
     };
     match message {
-        Message::Beat(beat) => {
-            gate.hear(address, beat);
+        Message::Heartbeat(heartbeat) => {
+            gate.hear(address, heartbeat);
             Vec::new()
         }
         Message::Digest(digest) => {
             let centre = gate.settings.borrow().centre.clone();
-            let mut targets = gate.state.borrow().peers.beat_targets(&centre);
+            let mut targets = gate.state.borrow().peers.heartbeat_targets(&centre);
             let is_forwarded = targets.contains(&address);
             if !gate.receive_digest(digest) || is_forwarded {
                 targets.clear();
@@ -137,9 +141,9 @@
     }
 }
 
-/// Sends one beat.
-pub(crate) fn send_beat(gate: &Gate, socket: &UdpSocket) {
-    if let Some(packet) = beat_packet(gate) {
+/// Sends one heartbeat.
+pub(crate) fn send_heartbeat(gate: &Gate, socket: &UdpSocket) {
+    if let Some(packet) = heartbeat_packet(gate) {
         send(socket, &packet.bytes, &packet.addresses);
     }
 }
@@ -161,7 +165,7 @@
         if let Some(packet) = alarm_packet(&gate) {
             send(&socket, &packet.bytes, &packet.addresses);
         }
-        sleep(BEAT_PERIOD).await;
+        sleep(HEARTBEAT_PERIOD).await;
     }
 }
 
@@ -175,14 +179,14 @@
 }
 
 /// Handles messages until the process ends.
-pub(crate) async fn hear_beats(gate: Rc<Gate>, socket: Rc<UdpSocket>) {
+pub(crate) async fn receive_messages(gate: Rc<Gate>, socket: Rc<UdpSocket>) {
     let mut buffer = vec![0; MAX_DATAGRAM_BYTES];
-    let mut ticks = interval(BEAT_PERIOD / 2);
+    let mut ticks = interval(HEARTBEAT_PERIOD / 2);
     ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
     loop {
         if let Err(error) = socket.readable().await {
             tracing::warn!(event = "beats_unread", %error);
-            sleep(BEAT_PERIOD).await;
+            sleep(HEARTBEAT_PERIOD).await;
             continue;
         }
         let mut has_received = false;
@@ -194,7 +198,7 @@
         if has_received {
             gate.count_peers();
             gate.serve_queue();
-            // Batches beats that arrive close together.
+            // Batches heartbeats that arrive close together.
             ticks.tick().await;
         }
     }
--- a/cornelstand/src/gateway/placement.rs
+++ b/cornelstand/src/gateway/placement.rs
@@ -265,12 +265,12 @@
     /// Applies a notice from the endpoint of `place`. Returns whether it announces a shutdown that
     /// was not known.
     pub(crate) fn note(&mut self, now: Moment, place: &Place, notice: Notice) -> bool {
-        let is_news = self.notices.note(now, place.key, notice);
+        let is_new = self.notices.note(now, place.key, notice);
         let noted = self.notices.get(place.key);
         if let Some(state) = self.reserved_state(place) {
             state.noted = noted;
         }
-        is_news
+        is_new
     }
 
     /// Marks endpoints that peers report as leaving. Returns those that were not known to be.
--- a/cornelstand/src/gateway/suspicion_news.rs
+++ b/cornelstand/src/gateway/suspicion_news.rs
@@ -18,17 +18,17 @@
 /// Time after which a change is no longer sent, beyond the 3 to 4 s within which the platform
 /// requires it to be known.
 const CHANGE_LIFETIME: Duration = Duration::from_secs(5);
-/// Most queued changes: at two beats a second, the lowest rate, each is sent once within
+/// Most queued changes: at two heartbeats a second, the lowest rate, each is sent once within
 /// [`CHANGE_LIFETIME`].
-const MAX_QUEUED: usize = 10 * BEAT_CAPACITY;
-/// Most suspicions in a beat: some 50 bytes each, and a crash makes up to 64 suspects.
-const BEAT_CAPACITY: usize = 32;
+const MAX_QUEUED: usize = 10 * HEARTBEAT_CAPACITY;
+/// Most suspicions in a heartbeat: some 50 bytes each, and a crash makes up to 64 suspects.
+const HEARTBEAT_CAPACITY: usize = 32;
 /// Most suspicions in a digest, which carries those of a whole data centre.
 const DIGEST_CAPACITY: usize = 64;
 
 /// Refused requests that a message repeats, besides its changes. A starting instance receives some
-/// 150 beats a second in a large fleet, and 25 of each peer in a small one: a few hundred requests
-/// within the 3 s that the platform allows it.
+/// 150 heartbeats a second in a large fleet, and 25 of each peer in a small one: a few hundred
+/// requests within the 3 s that the platform allows it.
 const REFRESH_COUNT: usize = 4;
 
 /// Changes queued for one kind of message.
@@ -95,7 +95,7 @@
     }
 
     /// Suspicions for a message of changes only.
-    pub(crate) fn take_news(&mut self, now: Moment, suspects: &Suspects) -> Vec<Suspicion> {
+    pub(crate) fn take_updates(&mut self, now: Moment, suspects: &Suspects) -> Vec<Suspicion> {
         collect(now, &self.take_changes(now), suspects)
     }
 
@@ -158,16 +158,16 @@
 
 /// Queued changes by kind of message.
 #[derive(Debug)]
-pub(crate) struct SuspicionNews {
-    /// For the receivers of beats.
-    pub(crate) beats: Outbox,
+pub(crate) struct SuspicionUpdates {
+    /// For the receivers of heartbeats.
+    pub(crate) heartbeats: Outbox,
     /// For other data centres, if this instance sends digests.
     pub(crate) digests: Outbox,
     /// For all instances at once: requests that are refused from now on.
     pub(crate) alarms: Outbox,
 }
 
-impl SuspicionNews {
+impl SuspicionUpdates {
     /// Queues a change for the peers that its source did not reach.
     pub(crate) fn push(
         &mut self,
@@ -177,13 +177,13 @@
         is_refused: bool,
     ) {
         if source.is_own() {
-            self.beats.push(now, request, is_refused);
+            self.heartbeats.push(now, request, is_refused);
             if is_refused {
                 self.alarms.push(now, request, true);
             }
         }
         // Digests and alarms reach the other data centres, too.
-        if matches!(source, Source::Own | Source::Beat) {
+        if matches!(source, Source::Own | Source::Heartbeat) {
             self.digests.push(now, request, is_refused);
         }
     }
@@ -193,18 +193,18 @@
         let outbox = if source.is_digest() {
             &mut self.digests
         } else {
-            &mut self.beats
+            &mut self.heartbeats
         };
         outbox.push(now, request, true);
     }
 }
 
-impl Default for SuspicionNews {
+impl Default for SuspicionUpdates {
     fn default() -> Self {
         Self {
-            beats: Outbox::new(BEAT_CAPACITY, SENDS_PER_CHANGE),
+            heartbeats: Outbox::new(HEARTBEAT_CAPACITY, SENDS_PER_CHANGE),
             digests: Outbox::new(DIGEST_CAPACITY, SENDS_PER_CHANGE),
-            alarms: Outbox::new(BEAT_CAPACITY, 1),
+            alarms: Outbox::new(HEARTBEAT_CAPACITY, 1),
         }
     }
 }
--- a/cornelstand/src/gateway/tests/containment.rs
+++ b/cornelstand/src/gateway/tests/containment.rs
@@ -14,9 +14,10 @@
 use crate::gateway::gate::Gate;
 use crate::gateway::metrics::GatewayMetrics;
 use crate::gateway::peers_link::{
-    DIGEST_PERIOD, Packet, alarm_packet, beat_packet, beat_period, digest_packet, handle_datagram,
+    DIGEST_PERIOD, Packet, alarm_packet, digest_packet, handle_datagram, heartbeat_packet,
+    heartbeat_period,
 };
-use crate::gateway::suspicion_news::SuspicionNews;
+use crate::gateway::suspicion_news::SuspicionUpdates;
 use crate::gateway::tests::{crash, settings};
 use crate::moment::Moment;
 use crate::name::{CentreName, Fingerprint};
@@ -71,7 +72,7 @@
 struct Member {
     gate: Rc<Gate>,
     address: SocketAddr,
-    beat_due: u64,
+    heartbeat_due: u64,
     digest_due: u64,
 }
 
@@ -170,10 +171,10 @@
         for index in 0..self.members.len() {
             let member = &self.members[index];
             let mut packets = Vec::from_iter(alarm_packet(&member.gate));
-            if self.step >= member.beat_due {
-                packets.extend(beat_packet(&member.gate));
-                let period = beat_period(&member.gate);
-                self.members[index].beat_due = self.step + steps(period);
+            if self.step >= member.heartbeat_due {
+                packets.extend(heartbeat_packet(&member.gate));
+                let period = heartbeat_period(&member.gate);
+                self.members[index].heartbeat_due = self.step + steps(period);
             }
             if self.step >= self.members[index].digest_due {
                 packets.extend(digest_packet(&self.members[index].gate));
@@ -253,7 +254,7 @@
     Member {
         gate: Rc::new(Gate::new(settings, metrics, incarnation)),
         address,
-        beat_due: offset % 7,
+        heartbeat_due: offset % 7,
         digest_due: offset % 8,
     }
 }
@@ -303,23 +304,24 @@
 #[test]
 fn suspicions_beyond_the_room_of_a_message_are_told_by_the_next_ones_and_refused_requests_first() {
     let mut suspects = Suspects::default();
-    let mut news = SuspicionNews::default();
+    let mut updates = SuspicionUpdates::default();
     let count = 100;
     for number in 0..count {
         suspects.note(Moment(0), Fingerprint(number), crash("e"));
-        news.beats
+        updates
+            .heartbeats
             .push(Moment(0), Fingerprint(number), number == count - 1);
     }
     let mut sends = vec![0; usize::try_from(count).expect("few")];
     for message in 0..20 {
-        let suspicions = news.beats.take(Moment(message), &suspects);
+        let suspicions = updates.heartbeats.take(Moment(message), &suspects);
         assert!(message > 0 || suspicions[0].fingerprint == Fingerprint(count - 1));
         for suspicion in suspicions {
             sends[usize::try_from(suspicion.fingerprint.0).expect("few")] += 1;
         }
     }
     assert!(sends.iter().all(|times| *times == 3), "{sends:?}");
-    assert_eq!(news.beats.take_unsent(), 0);
+    assert_eq!(updates.heartbeats.take_unsent(), 0);
 }
 
 #[rstest]
--- a/cornelstand/src/gateway/tests/heavy_load.rs
+++ b/cornelstand/src/gateway/tests/heavy_load.rs
@@ -1,7 +1,7 @@
 //! Simulations of heavy load against engines modelled on the users' data sheets: a step takes
 //! 3.79 ms plus 0.09 ms per running request, prompts are read at 56.6 tokens per millisecond in
 //! chunks of 2,048 between steps, and requests are admitted in order of arrival. Time is simulated;
-//! the instances exchange beats every 40 ms, as they do on the network.
+//! the instances exchange heartbeats every 40 ms, as they do on the network.
 
 #![expect(
     clippy::cast_possible_truncation,
@@ -35,7 +35,7 @@
 const ENGINES: usize = 6;
 const INSTANCES: usize = 3;
 const SECONDS: u64 = 16;
-const BEAT_MS: u64 = 40;
+const HEARTBEAT_MS: u64 = 40;
 const TICK_MS: u64 = 8;
 
 /// Kinds of requests, as on the data sheet of the counters.
@@ -320,16 +320,16 @@
                 gate.serve_queue();
             }
         }
-        if now % BEAT_MS == 0 {
-            let beats: Vec<_> = gates.iter().map(|g| g.beat()).collect();
+        if now % HEARTBEAT_MS == 0 {
+            let heartbeats: Vec<_> = gates.iter().map(|g| g.heartbeat()).collect();
             for (i, gate) in gates.iter().enumerate() {
-                for (k, beat) in beats.iter().enumerate().filter(|(k, _)| *k != i) {
+                for (k, heartbeat) in heartbeats.iter().enumerate().filter(|(k, _)| *k != i) {
                     let address = ([10, 0, 1, k as u8], 7_400).into();
-                    let mut beat = beat.clone();
+                    let mut heartbeat = heartbeat.clone();
                     if policy == Policy::NoAdvertisements {
-                        beat.news.residents.clear();
+                        heartbeat.updates.residents.clear();
                     }
-                    gate.hear(address, beat);
+                    gate.hear(address, heartbeat);
                 }
                 gate.count_peers();
                 gate.serve_queue();
--- a/cornelstand/src/gateway/tests/peers.rs
+++ b/cornelstand/src/gateway/tests/peers.rs
@@ -1,4 +1,4 @@
-//! Beats of peers: their order, their absence and their sums.
+//! Heartbeats of peers: their order, their absence and their sums.
 
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
@@ -6,7 +6,7 @@
 
 use crate::gateway::admission::Want;
 use crate::gateway::directory::Marks;
-use crate::gateway::peers::{Beat, News, PeerLoad, Peers};
+use crate::gateway::peers::{Heartbeat, PeerLoad, Peers, Updates};
 use crate::gateway::tests::{gate, settings};
 use crate::moment::Moment;
 use crate::name::{AccountName, CentreName, InstanceName, ServiceName};
@@ -23,8 +23,8 @@
     ([127, 0, 0, 1], 7_400).into()
 }
 
-fn beat(instance: &str, number: u64, running: u32) -> Beat {
-    Beat {
+fn heartbeat(instance: &str, number: u64, running: u32) -> Heartbeat {
+    Heartbeat {
         instance: InstanceName::from(instance),
         centre: CentreName::from("north"),
         cores: 0.25,
@@ -53,23 +53,23 @@
             }],
         )],
         token_times: vec![(ServiceName::from("models"), 20.0)],
-        news: News::default(),
+        updates: Updates::default(),
     }
 }
 
 #[test]
-fn a_late_beat_does_not_replace_a_newer_one() {
+fn a_late_heartbeat_does_not_replace_a_newer_one() {
     let mut peers = Peers::default();
-    peers.record_beat(at(0), address(), beat("p", 2, 7));
-    peers.record_beat(at(1), address(), beat("p", 1, 3));
+    peers.record_heartbeat(at(0), address(), heartbeat("p", 2, 7));
+    peers.record_heartbeat(at(1), address(), heartbeat("p", 1, 3));
     assert_eq!(peers.loads(at(1), &north())[&5].running, 7);
 }
 
 #[test]
 fn loads_of_peers_add_up_and_those_of_silent_ones_do_not_count() {
     let mut peers = Peers::default();
-    peers.record_beat(at(0), address(), beat("p", 1, 3));
-    peers.record_beat(at(1_000), address(), beat("q", 1, 4));
+    peers.record_heartbeat(at(0), address(), heartbeat("p", 1, 3));
+    peers.record_heartbeat(at(1_000), address(), heartbeat("q", 1, 4));
     assert_eq!(peers.loads(at(1_000), &north())[&5].running, 7);
     assert_eq!(peers.loads(at(2_000), &north())[&5].running, 4);
     assert_eq!(peers.lost(at(1_400), at(1_600)), [&InstanceName::from("p")]);
@@ -79,7 +79,7 @@
 #[test]
 fn a_silent_peer_still_counts_for_limits() {
     let mut peers = Peers::default();
-    peers.record_beat(at(0), address(), beat("p", 1, 3));
+    peers.record_heartbeat(at(0), address(), heartbeat("p", 1, 3));
     assert_eq!(peers.count(), 2);
     peers.forget(at(30_000));
     assert_eq!(peers.count(), 2);
@@ -88,8 +88,8 @@
 #[test]
 fn the_newest_configuration_is_found() {
     let mut peers = Peers::default();
-    peers.record_beat(at(0), address(), beat("p", 3, 1));
-    peers.record_beat(at(0), address(), beat("q", 5, 1));
+    peers.record_heartbeat(at(0), address(), heartbeat("p", 3, 1));
+    peers.record_heartbeat(at(0), address(), heartbeat("q", 5, 1));
     assert_eq!(
         peers.newer_config(at(0), 4).map(|(version, _)| version),
         Some(5)
@@ -100,10 +100,10 @@
 #[test]
 fn a_restarted_peer_begins_anew() {
     let mut peers = Peers::default();
-    peers.record_beat(at(0), address(), beat("p", 900, 7));
-    let mut restarted = beat("p", 1, 0);
+    peers.record_heartbeat(at(0), address(), heartbeat("p", 900, 7));
+    let mut restarted = heartbeat("p", 1, 0);
     restarted.incarnation = 2;
-    peers.record_beat(at(1), address(), restarted);
+    peers.record_heartbeat(at(1), address(), restarted);
     assert_eq!(peers.loads(at(1), &north())[&5].running, 0);
 }
 
@@ -112,13 +112,13 @@
     let mut peers = Peers::default();
     for centre in ["north", "south"] {
         for i in 0..count {
-            let mut beat = beat(&format!("{centre}-{i}"), 1, 1);
-            beat.centre = CentreName::from(centre);
-            beat.cores = if i == 3 { 0.5 } else { 0.12 };
-            peers.record_beat(
+            let mut heartbeat = heartbeat(&format!("{centre}-{i}"), 1, 1);
+            heartbeat.centre = CentreName::from(centre);
+            heartbeat.cores = if i == 3 { 0.5 } else { 0.12 };
+            peers.record_heartbeat(
                 at(0),
                 ([10, 0, 0, u8::try_from(i).expect("few")], 7_400).into(),
-                beat,
+                heartbeat,
             );
         }
     }
@@ -129,7 +129,7 @@
 fn in_a_small_fleet_every_instance_watches_and_hears_all() {
     let peers = fleet(3);
     assert!(peers.is_leader(at(0), &settings("north-9"), false));
-    assert_eq!(peers.beat_targets(&north()).len(), 6);
+    assert_eq!(peers.heartbeat_targets(&north()).len(), 6);
 }
 
 #[test]
@@ -143,19 +143,19 @@
     assert!(peers.is_leader(at(0), &large, false));
     assert!(peers.is_leader(at(5_000), &small, false));
     for i in 0..8 {
-        let mut beat = beat(&format!("north-{i}"), 2, 1);
-        beat.store_lost = i % 2 != 0;
-        beat.stopping = i % 2 == 0;
-        beat.cores = 0.5;
-        peers.record_beat(at(10), address(), beat);
+        let mut heartbeat = heartbeat(&format!("north-{i}"), 2, 1);
+        heartbeat.store_lost = i % 2 != 0;
+        heartbeat.stopping = i % 2 == 0;
+        heartbeat.cores = 0.5;
+        peers.record_heartbeat(at(10), address(), heartbeat);
     }
     assert!(peers.is_leader(at(10), &small, false));
 }
 
 #[test]
-fn a_digest_replaces_the_beats_of_its_data_centre() {
+fn a_digest_replaces_the_heartbeats_of_its_data_centre() {
     let peers = fleet(8);
-    let mut own = beat("south-9", 7, 5);
+    let mut own = heartbeat("south-9", 7, 5);
     own.centre = CentreName::from("south");
     let digest = peers.digest(at(0), &own, 1, address());
     assert_eq!((digest.members, digest.loads[0].running), (9, 8 + 5));
@@ -168,7 +168,7 @@
 #[test]
 fn messages_of_a_large_fleet_stay_in_their_data_centre_but_for_the_digests() {
     let peers = fleet(8);
-    assert_eq!(peers.beat_targets(&north()).len(), 8);
+    assert_eq!(peers.heartbeat_targets(&north()).len(), 8);
     let leaders: Vec<_> = (0..2)
         .map(|turn| peers.digest_targets(at(0), &north(), turn))
         .collect();
@@ -179,30 +179,30 @@
 }
 
 #[test]
-fn digests_take_turns_however_many_beats_come_between() {
-    for beats in 0..3 {
+fn digests_take_turns_however_many_heartbeats_come_between() {
+    for heartbeats in 0..3 {
         let gate = gate("north-9", Vec::new());
         let mut peers = fleet(8);
-        let mut south = beat("south-9", 7, 5);
+        let mut south = heartbeat("south-9", 7, 5);
         south.centre = CentreName::from("south");
         let heard = peers.digest(at(0), &south, 1, address());
         peers.record_digest(at(0), heard);
         gate.state.borrow_mut().peers = peers;
         let mut leaders = BTreeSet::new();
         for _ in 0..4 {
-            (0..beats).for_each(|_| drop(gate.beat()));
+            (0..heartbeats).for_each(|_| drop(gate.heartbeat()));
             let digest = gate.digest();
             let state = gate.state.borrow();
             leaders.extend(state.peers.digest_targets(at(0), &north(), digest.order.1));
         }
-        assert!(leaders.len() > 1, "{beats} beats between: {leaders:?}");
+        assert!(leaders.len() > 1, "{heartbeats} beats between: {leaders:?}");
     }
 }
 
 #[test]
 fn a_newer_configuration_of_another_data_centre_is_known_by_its_digest() {
     let mut peers = fleet(8);
-    let mut own = beat("south-9", 7, 5);
+    let mut own = heartbeat("south-9", 7, 5);
     own.centre = CentreName::from("south");
     own.version = 9;
     let digest = peers.digest(at(0), &own, 1, address());
@@ -223,18 +223,18 @@
     assert!(!peers.is_leader(at(0), &second, false) && peers.watches_store(at(0), &second, false));
     let mut third = settings("north-8");
     third.cores = 0.25;
-    let mut beat = beat("north-9", 1, 1);
-    beat.cores = 0.3;
-    peers.record_beat(at(0), address(), beat);
+    let mut heartbeat = heartbeat("north-9", 1, 1);
+    heartbeat.cores = 0.3;
+    peers.record_heartbeat(at(0), address(), heartbeat);
     assert!(!peers.watches_store(at(0), &third, false));
 }
 
 #[test]
 fn the_store_was_there_as_long_as_for_the_peer_that_had_it_longest() {
     let mut peers = fleet(3);
-    let mut disconnected = beat("north-7", 1, 1);
+    let mut disconnected = heartbeat("north-7", 1, 1);
     disconnected.store_time = None;
-    peers.record_beat(at(0), address(), disconnected);
+    peers.record_heartbeat(at(0), address(), disconnected);
     let elsewhere = CentreName::from("elsewhere");
     assert_eq!(
         peers.store_time(at(0), &north()),
@@ -254,9 +254,9 @@
         let mut peers = Peers::default();
         for (name, is_lost) in names.iter().zip(&lost) {
             number += 1;
-            let mut beat = beat(name, number, 1);
-            (beat.store_time, beat.store_lost) = (None, *is_lost);
-            peers.record_beat(at(round), address(), beat);
+            let mut heartbeat = heartbeat(name, number, 1);
+            (heartbeat.store_time, heartbeat.store_lost) = (None, *is_lost);
+            peers.record_heartbeat(at(round), address(), heartbeat);
         }
         let watching = (0..names.len()).filter(|i| {
             let mut own = settings(&names[*i]);
