--- a/cornelstand/src/gateway/acquire.rs
+++ b/cornelstand/src/gateway/acquire.rs
@@ -26,7 +26,7 @@
 
 /// Waits until the request gets a place, is refused, or its caller disconnects.
 pub(crate) async fn acquire(gate: &Gate, call: &mut Call, outlet: &mut Outlet) -> Acquired {
-    if let Some(retry_after) = gate.refused_for(call.fingerprint) {
+    if let Some(retry_after) = gate.refusal_left(call.fingerprint) {
         return refuse_place(call, CRASH_REASON, retry_after);
     }
     let started = Instant::now();
--- a/cornelstand/src/gateway/call.rs
+++ b/cornelstand/src/gateway/call.rs
@@ -12,7 +12,7 @@
 use crate::gateway::acquire::{Acquired, acquire};
 use crate::gateway::catalog::{Catalog, GatewayRoute};
 use crate::gateway::endpoint_state::Prompt;
-use crate::gateway::gate::{Closing, Gate};
+use crate::gateway::gate::{Gate, RefusedWork};
 use crate::gateway::message::Head;
 use crate::gateway::outlet::Outlet;
 use crate::gateway::pauses::boot_time;
@@ -199,16 +199,16 @@
     let path = head.target().split('?').next().unwrap_or_default();
     let route = catalog.route(host, path).cloned();
     let route = route.ok_or(Refused::new(404, "no route", None))?;
-    let is_refused = match gate.closing.get() {
-        Closing::Nothing => false,
-        Closing::Streams => route.kind.is_stream(),
-        Closing::Everything => true,
+    let is_refused = match gate.refusing.get() {
+        RefusedWork::Nothing => false,
+        RefusedWork::Streams => route.kind.is_stream(),
+        RefusedWork::Everything => true,
     };
     if is_refused {
         let retry_after = Some(STOPPING_RETRY_AFTER);
         return Err(Refused::new(503, "this instance stops", retry_after));
     }
-    if route.kind.is_stream() && gate.sheds() {
+    if route.kind.is_stream() && gate.should_shed() {
         let retry_after = Some(OVERLOAD_RETRY_AFTER);
         return Err(Refused::new(
             503,
@@ -226,7 +226,7 @@
     let service = route.target(rand::random()).cloned();
     let service = service.ok_or(Refused::new(503, "the route has no service", None))?;
     let fingerprint = fingerprint(account.as_ref(), head.target(), &body);
-    if let Some(retry_after) = gate.refused_for(fingerprint) {
+    if let Some(retry_after) = gate.refusal_left(fingerprint) {
         return Err(Refused::new(503, CRASH_REASON, Some(retry_after)));
     }
     let engine = catalog
@@ -424,7 +424,7 @@
         Attempt::Lost(reason) => {
             gate.metrics.lost_responses.inc();
             call.tried.push(place.index);
-            gate.examine(call.fingerprint, &endpoint, place.sent())
+            gate.confirm_crash(call.fingerprint, &endpoint, place.sent())
                 .await;
             after_loss(gate, call, reason)
         }
@@ -469,7 +469,7 @@
 }
 
 fn after_loss(gate: &Gate, call: &Call, reason: &'static str) -> Next {
-    if call.may_retry() && gate.refused_for(call.fingerprint).is_none() && take_retry(gate, call) {
+    if call.may_retry() && gate.refusal_left(call.fingerprint).is_none() && take_retry(gate, call) {
         return Next::Retry;
     }
     if call.has_begun {
--- a/cornelstand/src/gateway/containment.rs
+++ b/cornelstand/src/gateway/containment.rs
@@ -43,7 +43,7 @@
 
 impl Gate {
     /// Time for which a request is refused because it crashed endpoints.
-    pub(crate) fn refused_for(&self, request: Fingerprint) -> Option<Duration> {
+    pub(crate) fn refusal_left(&self, request: Fingerprint) -> Option<Duration> {
         let state = self.state.borrow();
         match state.suspects.check(self.now(), request) {
             Standing::Refused(left) => Some(left),
@@ -53,7 +53,12 @@
 
     /// Counts a crash against a request, sent at `sent`, if the endpoint that ran it is down or has
     /// restarted.
-    pub(crate) async fn examine(&self, request: Fingerprint, ran: &EndpointRecord, sent: Moment) {
+    pub(crate) async fn confirm_crash(
+        &self,
+        request: Fingerprint,
+        ran: &EndpointRecord,
+        sent: Moment,
+    ) {
         let is_up = Upstream::connect(ran.address, PROBE_TIMEOUT).await.is_ok();
         let has_restarted = self.state.borrow().endpoints.is_replaced(ran);
         if is_up && !has_restarted {
--- a/cornelstand/src/gateway/daemon.rs
+++ b/cornelstand/src/gateway/daemon.rs
@@ -13,7 +13,7 @@
 
 use crate::gateway::admin::{self, Role};
 use crate::gateway::follow::{Followed, deregister, follow, follow_instances, follow_peers};
-use crate::gateway::gate::{Closing, Gate};
+use crate::gateway::gate::{Gate, RefusedWork};
 use crate::gateway::logs::LogBuffer;
 use crate::gateway::metrics::GatewayMetrics;
 use crate::gateway::number::float;
@@ -224,7 +224,7 @@
             .set(gate.activity.get() + RATE_WEIGHT * (rate - gate.activity.get()));
         before = requests;
         ticks += 1;
-        if gate.has_room.get() || ticks.is_multiple_of(QUEUE_TICKS) {
+        if gate.queue_pass_due.get() || ticks.is_multiple_of(QUEUE_TICKS) {
             gate.serve_queue();
         }
     }
@@ -242,14 +242,14 @@
         state.endpoints.forget_parts(now);
         state.pool.expire();
         state.suspects.forgive(now);
-        for peer in state.peers.lost(before, now) {
+        for peer in state.peers.newly_silent(before, now) {
             tracing::warn!(event = "peer_lost", %peer);
         }
-        state.peers.forget(now);
+        state.peers.remove_silent(now);
         drop(state);
-        gate.count_peers();
+        gate.apply_peer_state();
         gate.apply(expired);
-        gate.note_load();
+        gate.update_load();
         before = now;
     }
 }
@@ -294,14 +294,14 @@
         }
     });
     while started.elapsed() < grace {
-        let closing = if started.elapsed() + CALL_REFUSAL_MARGIN >= grace {
-            Closing::Everything
+        let refusing = if started.elapsed() + CALL_REFUSAL_MARGIN >= grace {
+            RefusedWork::Everything
         } else if started.elapsed() >= STREAM_REFUSAL_DELAY {
-            Closing::Streams
+            RefusedWork::Streams
         } else {
-            Closing::Nothing
+            RefusedWork::Nothing
         };
-        gate.closing.set(closing);
+        gate.refusing.set(refusing);
         let is_done = gate.active.get() == 0 && started.elapsed() >= MIN_STOP_TIME;
         if is_done {
             break;
--- a/cornelstand/src/gateway/endpoint_state.rs
+++ b/cornelstand/src/gateway/endpoint_state.rs
@@ -7,7 +7,7 @@
 use derive_more::IsVariant;
 
 use crate::gateway::directory::EndpointRecord;
-use crate::gateway::notices::Noted;
+use crate::gateway::notices::NoticeState;
 use crate::gateway::peers::endpoint_key;
 use crate::gateway::residency::MIN_ADVERTISED_TOKENS;
 use crate::moment::Moment;
@@ -139,7 +139,7 @@
     pub(crate) last_sent: Moment,
     pub(crate) cold_sends: VecDeque<Moment>,
     /// Notices from its own responses and from peers.
-    pub(crate) noted: Noted,
+    pub(crate) noted: NoticeState,
 }
 
 impl EndpointState {
@@ -157,7 +157,7 @@
             failure_rate: 0.0,
             last_sent: Moment::default(),
             cold_sends: VecDeque::new(),
-            noted: Noted::default(),
+            noted: NoticeState::default(),
         }
     }
 
--- a/cornelstand/src/gateway/gate.rs
+++ b/cornelstand/src/gateway/gate.rs
@@ -88,10 +88,10 @@
     pub(crate) state: RefCell<State>,
     pub(crate) stopping: Cell<bool>,
     /// New requests that are refused because they would not finish before the process exits.
-    pub(crate) closing: Cell<Closing>,
+    pub(crate) refusing: Cell<RefusedWork>,
     pub(crate) active: Cell<usize>,
     /// Whether capacity may have been freed since the queue was last served.
-    pub(crate) has_room: Cell<bool>,
+    pub(crate) queue_pass_due: Cell<bool>,
     /// Moving average of the process's timer lag, in milliseconds.
     pub(crate) lag: Cell<f64>,
     /// Moving average of requests per second.
@@ -109,7 +109,7 @@
 
 /// Requests that a stopping instance refuses.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub(crate) enum Closing {
+pub(crate) enum RefusedWork {
     Nothing,
     Streams,
     Everything,
@@ -148,9 +148,9 @@
                 digest_count: 0,
             }),
             stopping: Cell::new(false),
-            closing: Cell::new(Closing::Nothing),
+            refusing: Cell::new(RefusedWork::Nothing),
             active: Cell::new(0),
-            has_room: Cell::new(false),
+            queue_pass_due: Cell::new(false),
             lag: Cell::new(0.0),
             activity: Cell::new(0.0),
             discovery_done: Cell::new(false),
@@ -171,7 +171,7 @@
     }
 
     /// Whether to shed a new stream, chosen at random, because this instance lacks CPU time.
-    pub(crate) fn sheds(&self) -> bool {
+    pub(crate) fn should_shed(&self) -> bool {
         let excess = (self.lag.get() - LAG_TOLERATED_MS) / LAG_SPAN_MS;
         excess > 0.0 && rand::random::<f64>() < excess.min(MAX_SHED_SHARE)
     }
@@ -207,7 +207,7 @@
 
     /// Grants places to queued requests while there is room.
     pub(crate) fn serve_queue(&self) {
-        self.has_room.set(false);
+        self.queue_pass_due.set(false);
         let mut state = self.state.borrow_mut();
         if !state.admission.is_empty() {
             self.grant_places(&mut state, self.now());
@@ -217,7 +217,7 @@
     /// Requests a pass over the queue at the next tick. Many events free capacity at about the
     /// same time, and a pass for each would take most of a small processor's time.
     fn request_queue_pass(&self) {
-        self.has_room.set(true);
+        self.queue_pass_due.set(true);
     }
 
     fn grant_places(&self, state: &mut State, now: Moment) {
@@ -269,7 +269,7 @@
     }
 
     /// Applies the notice that the endpoint of `place` sent.
-    pub(crate) fn note(&self, place: &Place, notice: Notice) {
+    pub(crate) fn apply_notice(&self, place: &Place, notice: Notice) {
         if notice == Notice::default() {
             return;
         }
@@ -381,7 +381,7 @@
 
     /// Updates the admission capacity from the endpoints' load, and logs what recent
     /// decisions were based on.
-    pub(crate) fn note_load(&self) {
+    pub(crate) fn update_load(&self) {
         let now = self.now();
         let mut state = self.state.borrow_mut();
         let state = &mut *state;
@@ -466,7 +466,7 @@
     }
 
     /// Applies a heartbeat of a peer.
-    pub(crate) fn hear(&self, address: std::net::SocketAddr, heartbeat: Heartbeat) {
+    pub(crate) fn receive_heartbeat(&self, address: std::net::SocketAddr, heartbeat: Heartbeat) {
         let now = self.now();
         self.metrics.heartbeats.inc();
         let mut state = self.state.borrow_mut();
@@ -492,7 +492,7 @@
     }
 
     /// Applies the peers' load to decisions.
-    pub(crate) fn count_peers(&self) {
+    pub(crate) fn apply_peer_state(&self) {
         let now = self.now();
         let mut state = self.state.borrow_mut();
         let state = &mut *state;
--- a/cornelstand/src/gateway/notices.rs
+++ b/cornelstand/src/gateway/notices.rs
@@ -26,7 +26,7 @@
 
 /// Notices about one lifetime of an endpoint.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub(crate) struct Noted {
+pub(crate) struct NoticeState {
     pub(crate) leaving: bool,
     pub(crate) rests_until: Moment,
     updated: Moment,
@@ -35,7 +35,7 @@
 /// Notices by [`crate::gateway::peers::endpoint_key`].
 #[derive(Debug, Default)]
 pub(crate) struct Notices {
-    noted: HashMap<u32, Noted>,
+    noted: HashMap<u32, NoticeState>,
 }
 
 impl Notices {
@@ -53,13 +53,13 @@
         starts_leaving
     }
 
-    pub(crate) fn get(&self, endpoint: u32) -> Noted {
+    pub(crate) fn get(&self, endpoint: u32) -> NoticeState {
         self.noted.get(&endpoint).copied().unwrap_or_default()
     }
 
     /// Leaving endpoints to announce to peers, the latest first.
-    pub(crate) fn told(&self, now: Moment) -> Vec<u32> {
-        let is_recent = |n: &Noted| n.leaving && now.since(n.updated) < ANNOUNCE_TIME;
+    pub(crate) fn announced(&self, now: Moment) -> Vec<u32> {
+        let is_recent = |n: &NoticeState| n.leaving && now.since(n.updated) < ANNOUNCE_TIME;
         let recent = self.noted.iter().filter(|(_, n)| is_recent(n));
         let mut recent: Vec<(Moment, u32)> = recent.map(|(key, n)| (n.updated, *key)).collect();
         recent.sort_by_key(|t| std::cmp::Reverse(*t));
@@ -69,7 +69,8 @@
 
     /// Drops notices of endpoints that are long gone.
     pub(crate) fn forget(&mut self, now: Moment) {
-        let is_kept = |n: &Noted| now < n.rests_until || now.since(n.updated) < NOTICE_RETENTION;
+        let is_kept =
+            |n: &NoticeState| now < n.rests_until || now.since(n.updated) < NOTICE_RETENTION;
         self.noted.retain(|_, n| is_kept(n));
     }
 }
--- a/cornelstand/src/gateway/peers.rs
+++ b/cornelstand/src/gateway/peers.rs
@@ -361,16 +361,16 @@
     }
 
     /// Peers that have fallen silent since `before`.
-    pub(crate) fn lost(&self, before: Moment, now: Moment) -> Vec<&InstanceName> {
+    pub(crate) fn newly_silent(&self, before: Moment, now: Moment) -> Vec<&InstanceName> {
         let is_silent =
             |p: &Peer, at: Moment| p.last_heard.is_some_and(|h| at.since(h) >= SILENCE_TIMEOUT);
-        let lost = |p: &Peer| is_silent(p, now) && !is_silent(p, before);
-        let lost = self.peers.iter().filter(|(_, p)| lost(p));
-        lost.map(|(name, _)| name).collect()
+        let newly_silent = |p: &Peer| is_silent(p, now) && !is_silent(p, before);
+        let newly_silent = self.peers.iter().filter(|(_, p)| newly_silent(p));
+        newly_silent.map(|(name, _)| name).collect()
     }
 
     /// Removes peers that have been silent for long.
-    pub(crate) fn forget(&mut self, now: Moment) {
+    pub(crate) fn remove_silent(&mut self, now: Moment) {
         self.peers
             .retain(|_, p| p.last_heard.is_none_or(|h| now.since(h) < PEER_RETENTION));
     }
--- a/cornelstand/src/gateway/peers_link.rs
+++ b/cornelstand/src/gateway/peers_link.rs
@@ -122,7 +122,7 @@
     };
     match message {
         Message::Heartbeat(heartbeat) => {
-            gate.hear(address, heartbeat);
+            gate.receive_heartbeat(address, heartbeat);
             Vec::new()
         }
         Message::Digest(digest) => {
@@ -196,7 +196,7 @@
             has_received = true;
         }
         if has_received {
-            gate.count_peers();
+            gate.apply_peer_state();
             gate.serve_queue();
             // Batches heartbeats that arrive close together.
             ticks.tick().await;
--- a/cornelstand/src/gateway/placement.rs
+++ b/cornelstand/src/gateway/placement.rs
@@ -328,7 +328,7 @@
 
     /// Leaving endpoints to report to peers, by [`EndpointState::key`].
     pub(crate) fn leaving(&self, now: Moment) -> Vec<u32> {
-        self.notices.told(now)
+        self.notices.announced(now)
     }
 
     /// Earliest time at which an endpoint of a service takes requests: `now` if one does already,
--- a/cornelstand/src/gateway/relay.rs
+++ b/cornelstand/src/gateway/relay.rs
@@ -134,7 +134,7 @@
     if outlet.is_gone() {
         return Attempt::Gone;
     }
-    if gate.refused_for(call.fingerprint).is_some() {
+    if gate.refusal_left(call.fingerprint).is_some() {
         return Attempt::NotRun(NotRun::Barred);
     }
     let mut request = BytesMut::new();
@@ -220,7 +220,7 @@
         loop {
             let head = self.read_head(call, outlet).await?;
             let answer = read_response(&head);
-            self.gate.note(place, answer.notice);
+            self.gate.apply_notice(place, answer.notice);
             let is_foreign = answer.request_id.is_some_and(|id| id != call.request_id);
             let mut body = head
                 .answer_body(call.head.method())
--- a/cornelstand/src/gateway/tests/containment.rs
+++ b/cornelstand/src/gateway/tests/containment.rs
@@ -198,7 +198,7 @@
 
     /// Sends the fatal request through an instance. Its endpoint crashes with all that runs there.
     fn attack(&mut self, index: usize) {
-        if self.members[index].gate.refused_for(FATAL).is_some() {
+        if self.members[index].gate.refusal_left(FATAL).is_some() {
             return;
         }
         let number = u64::try_from(self.crashed.len()).expect("few");
@@ -218,7 +218,7 @@
         for (at, request) in std::mem::take(&mut self.interrupted) {
             let gate = &self.members[at].gate;
             assert!(
-                gate.refused_for(request).is_none(),
+                gate.refusal_left(request).is_none(),
                 "an innocent request is refused"
             );
             gate.note_answer(request, 200);
@@ -227,7 +227,7 @@
 
     /// Number of instances that would send a request.
     fn count_willing(&self, request: Fingerprint) -> usize {
-        let is_willing = |m: &&Member| m.gate.refused_for(request).is_none();
+        let is_willing = |m: &&Member| m.gate.refusal_left(request).is_none();
         self.members.iter().filter(is_willing).count()
     }
 
@@ -302,7 +302,7 @@
 }
 
 #[test]
-fn suspicions_beyond_the_room_of_a_message_are_told_by_the_next_ones_and_refused_requests_first() {
+fn suspicions_beyond_the_room_of_a_message_are_sent_by_the_next_ones_and_refused_requests_first() {
     let mut suspects = Suspects::default();
     let mut updates = SuspicionUpdates::default();
     let count = 100;
@@ -433,7 +433,7 @@
     }
     fleet.wait(CONTACT_TIME).await;
     let unaware = (0..plan.count).filter(|i| !fleet.isolated.contains(i));
-    let unaware = unaware.filter(|i| fleet.members[*i].gate.refused_for(FATAL).is_none());
+    let unaware = unaware.filter(|i| fleet.members[*i].gate.refusal_left(FATAL).is_none());
     assert_eq!(unaware.count(), 0, "instances that would still send it");
 }
 
--- a/cornelstand/src/gateway/tests/heavy_load.rs
+++ b/cornelstand/src/gateway/tests/heavy_load.rs
@@ -329,9 +329,9 @@
                     if policy == Policy::NoAdvertisements {
                         heartbeat.updates.residents.clear();
                     }
-                    gate.hear(address, heartbeat);
+                    gate.receive_heartbeat(address, heartbeat);
                 }
-                gate.count_peers();
+                gate.apply_peer_state();
                 gate.serve_queue();
             }
         }
--- a/cornelstand/src/gateway/tests/peers.rs
+++ b/cornelstand/src/gateway/tests/peers.rs
@@ -72,7 +72,10 @@
     peers.record_heartbeat(at(1_000), address(), heartbeat("q", 1, 4));
     assert_eq!(peers.loads(at(1_000), &north())[&5].running, 7);
     assert_eq!(peers.loads(at(2_000), &north())[&5].running, 4);
-    assert_eq!(peers.lost(at(1_400), at(1_600)), [&InstanceName::from("p")]);
+    assert_eq!(
+        peers.newly_silent(at(1_400), at(1_600)),
+        [&InstanceName::from("p")]
+    );
     assert!(peers.loads(at(5_000), &north()).is_empty());
 }
 
@@ -81,7 +84,7 @@
     let mut peers = Peers::default();
     peers.record_heartbeat(at(0), address(), heartbeat("p", 1, 3));
     assert_eq!(peers.count(), 2);
-    peers.forget(at(30_000));
+    peers.remove_silent(at(30_000));
     assert_eq!(peers.count(), 2);
 }
 
