--- a/cornelstand/src/gateway/acquire.rs
+++ b/cornelstand/src/gateway/acquire.rs
@@ -86,7 +86,7 @@
 /// Refuses a request if no endpoint becomes available by `wait_deadline`, or by now if that is later.
 fn unservable(gate: &Gate, call: &Call, wait_deadline: Moment) -> Option<Acquired> {
     let now = gate.now();
-    let (reason, retry_after) = match gate.opens(now, &call.service, &call.tried) {
+    let (reason, retry_after) = match gate.available_from(now, &call.service, &call.tried) {
         Some(available_at) if available_at <= wait_deadline.max(now) => return None,
         Some(available_at) => (
             "the endpoints asked for a rest",
--- a/cornelstand/src/gateway/admission.rs
+++ b/cornelstand/src/gateway/admission.rs
@@ -30,7 +30,7 @@
 /// Fraction of its objective for which a request waits for an endpoint that has its shared prefix
 /// cached: its whole wait, since a second prefill takes engine time from several other requests.
 /// Prefixes in higher demand are replicated; see
-/// [`crate::gateway::placement::Endpoints::is_wanted`].
+/// [`crate::gateway::placement::Endpoints::should_replicate`].
 const CACHED_WAIT_FRACTION: f64 = MAX_WAIT_FRACTION;
 /// Shortest retry time for a refused caller: its retry reaches another instance within what is left
 /// of its objective.
--- a/cornelstand/src/gateway/daemon.rs
+++ b/cornelstand/src/gateway/daemon.rs
@@ -239,7 +239,7 @@
         let now = gate.now();
         let mut state = gate.state.borrow_mut();
         let expired = state.directory.expire(now);
-        state.endpoints.forget_parts(now);
+        state.endpoints.remove_expired(now);
         state.pool.expire();
         state.suspects.forgive(now);
         for peer in state.peers.newly_silent(before, now) {
--- a/cornelstand/src/gateway/endpoint_state.rs
+++ b/cornelstand/src/gateway/endpoint_state.rs
@@ -183,7 +183,7 @@
     }
 
     /// Records a part that a peer advertised.
-    pub(crate) fn note_peer_part(&mut self, now: Moment, part: u64) {
+    pub(crate) fn record_peer_part(&mut self, now: Moment, part: u64) {
         let cached = self.parts.entry(part).or_insert(CachedPart::new(now));
         cached.used = now;
         cached.advertised = Some(now);
@@ -248,7 +248,7 @@
 
 /// Rank of an endpoint in the rendezvous hashing of a shared prefix.
 #[derive(Clone, Copy, Debug, Eq, IsVariant, PartialEq)]
-pub(crate) enum Home {
+pub(crate) enum Preference {
     First,
     Second,
     None,
--- a/cornelstand/src/gateway/gate.rs
+++ b/cornelstand/src/gateway/gate.rs
@@ -65,7 +65,7 @@
         };
         self.admission.note_refusal(now, &waiting);
         if let Some(prompt) = &waiting.prompt {
-            self.endpoints.note_wanted(now, prompt);
+            self.endpoints.note_refused_prefix(now, prompt);
         }
         self.admission.return_after(now, &waiting.account)
     }
@@ -259,13 +259,13 @@
 
     /// Earliest time at which an endpoint of `service` that is not in `tried` accepts requests,
     /// or `None` if none will.
-    pub(crate) fn opens(
+    pub(crate) fn available_from(
         &self,
         now: Moment,
         service: &ServiceName,
         tried: &[EndpointIndex],
     ) -> Option<Moment> {
-        opens(&self.state.borrow(), now, service, tried)
+        available_from(&self.state.borrow(), now, service, tried)
     }
 
     /// Applies the notice that the endpoint of `place` sent.
@@ -307,7 +307,7 @@
             cold_share: (spec.cold_rate > 0.0)
                 .then(|| cold_share(limit, state.peers.count(), rank)),
             centre: settings.centre.clone(),
-            kept_only: false,
+            cached_only: false,
             left: Duration::MAX,
             token_time: state.outputs.token_time(service),
         })
@@ -488,7 +488,7 @@
         } = updates;
         state.merge_suspicions(&self.metrics, now, source, suspicions);
         note_leaving(state, now, leaving);
-        state.endpoints.hear_residents(now, residents);
+        state.endpoints.record_peer_residents(now, residents);
     }
 
     /// Applies the peers' load to decisions.
@@ -567,16 +567,18 @@
 
 /// Earliest time at which an endpoint of `service` that is not in `tried` accepts requests, or
 /// `None` if none will.
-fn opens(
+fn available_from(
     state: &State,
     now: Moment,
     service: &ServiceName,
     tried: &[EndpointIndex],
 ) -> Option<Moment> {
     let directory = &state.directory;
-    state.endpoints.opens(now, service, |index, record| {
-        !tried.contains(&index) && !directory.is_evacuated(&record.centre)
-    })
+    state
+        .endpoints
+        .available_from(now, service, |index, record| {
+            !tried.contains(&index) && !directory.is_evacuated(&record.centre)
+        })
 }
 
 /// Marks endpoints that a peer reports as leaving.
@@ -597,8 +599,8 @@
         else {
             return false;
         };
-        let opens = opens(state, now, &waiting.service, &waiter.tried);
-        opens.is_none_or(|o| o > waiting.gives_up)
+        let available_from = available_from(state, now, &waiting.service, &waiter.tried);
+        available_from.is_none_or(|o| o > waiting.gives_up)
     };
     let unservable: Vec<WaitId> = state
         .waiters
@@ -624,8 +626,8 @@
     }
     let mut rules = rules.clone();
     let prompt = waiting.prompt.as_ref();
-    let is_wanted = prompt.is_some_and(|p| state.endpoints.is_wanted(now, p));
-    rules.kept_only = now < waiting.spreads && !is_wanted;
+    let should_replicate = prompt.is_some_and(|p| state.endpoints.should_replicate(now, p));
+    rules.cached_only = now < waiting.spreads && !should_replicate;
     rules.left = waiting.ends.since(now);
     let tried = &state.waiters.get(&id)?.tried;
     let directory = &state.directory;
--- a/cornelstand/src/gateway/placement.rs
+++ b/cornelstand/src/gateway/placement.rs
@@ -16,7 +16,7 @@
 
 use crate::gateway::admission::DecayingSum;
 use crate::gateway::directory::EndpointRecord;
-use crate::gateway::endpoint_state::{EndpointState, Home, Load, Prompt};
+use crate::gateway::endpoint_state::{EndpointState, Load, Preference, Prompt};
 use crate::gateway::notices::{Notice, Notices};
 use crate::gateway::residency::{ResidencyLog, Resident};
 use crate::moment::Moment;
@@ -77,19 +77,19 @@
 
 /// The two endpoints with the highest hash weight for an anchor.
 #[derive(Clone, Copy, Debug, Default)]
-struct Homes {
+struct PreferredEndpoints {
     first: Option<EndpointIndex>,
     second: Option<EndpointIndex>,
 }
 
-impl Homes {
-    fn of(self, index: EndpointIndex) -> Home {
+impl PreferredEndpoints {
+    fn of(self, index: EndpointIndex) -> Preference {
         if self.first == Some(index) {
-            Home::First
+            Preference::First
         } else if self.second == Some(index) {
-            Home::Second
+            Preference::Second
         } else {
-            Home::None
+            Preference::None
         }
     }
 }
@@ -110,7 +110,7 @@
     /// Data centre of this instance.
     pub(crate) centre: CentreName,
     /// Whether only endpoints with the shared prefix cached will do.
-    pub(crate) kept_only: bool,
+    pub(crate) cached_only: bool,
 }
 
 /// A request's reservation at an endpoint.
@@ -297,7 +297,7 @@
     }
 
     /// Records a request refused although an engine may have its prefix cached.
-    pub(crate) fn note_wanted(&mut self, now: Moment, prompt: &Prompt) {
+    pub(crate) fn note_refused_prefix(&mut self, now: Moment, prompt: &Prompt) {
         if let Some(anchor) = prompt.anchor() {
             self.refused
                 .entry(anchor)
@@ -307,7 +307,7 @@
     }
 
     /// Whether refused requests with this prefix are so many that another engine should read it.
-    pub(crate) fn is_wanted(&self, now: Moment, prompt: &Prompt) -> bool {
+    pub(crate) fn should_replicate(&self, now: Moment, prompt: &Prompt) -> bool {
         let refused = prompt.anchor().and_then(|a| self.refused.get(&a));
         refused.is_some_and(|w| w.get(now, REFUSED_TIME_CONSTANT) >= REPLICATE_THRESHOLD)
     }
@@ -318,10 +318,10 @@
     }
 
     /// Records cached parts that peers advertised.
-    pub(crate) fn hear_residents(&mut self, now: Moment, residents: &[Resident]) {
+    pub(crate) fn record_peer_residents(&mut self, now: Moment, residents: &[Resident]) {
         for resident in residents {
             if let Some(state) = self.by_key(resident.endpoint) {
-                state.note_peer_part(now, resident.part);
+                state.record_peer_part(now, resident.part);
             }
         }
     }
@@ -333,7 +333,7 @@
 
     /// Earliest time at which an endpoint of a service takes requests: `now` if one does already,
     /// `None` if none will.
-    pub(crate) fn opens(
+    pub(crate) fn available_from(
         &self,
         now: Moment,
         service: &ServiceName,
@@ -344,11 +344,11 @@
         let fit = states.filter(|(i, s)| !s.is_leaving() && is_allowed(*i, &s.record));
         let mut first = None;
         for (_, state) in fit {
-            let opens = state.noted.rests_until.max(now);
-            if opens == now {
+            let available_from = state.noted.rests_until.max(now);
+            if available_from == now {
                 return Some(now);
             }
-            first = Some(first.map_or(opens, |f| opens.min(f)));
+            first = Some(first.map_or(available_from, |f| available_from.min(f)));
         }
         first
     }
@@ -395,7 +395,9 @@
     ) -> Result<EndpointIndex, PlacementError> {
         let indices = self.services.get(service).map_or(&[][..], Vec::as_slice);
         let anchor = prompt.and_then(Prompt::anchor);
-        let homes = anchor.map_or(Homes::default(), |a| self.homes(now, indices, a));
+        let preferred = anchor.map_or(PreferredEndpoints::default(), |a| {
+            self.preferred(now, indices, a)
+        });
         let is_usable = |(index, state): &(EndpointIndex, &EndpointState)| {
             state.is_usable(now) && is_allowed(*index, &state.record)
         };
@@ -406,7 +408,8 @@
         if usable.is_empty() {
             return Err(PlacementError::NoEndpoint);
         }
-        // Requests wait for an engine with their prefix cached; an uncached one is read at a home.
+        // Requests wait for an engine with their prefix cached; an uncached one is read at a
+        // preferred endpoint.
         let is_cached = usable
             .iter()
             .any(|(_, _, uncached)| *uncached < MIN_PREFIX_TOKENS);
@@ -417,11 +420,13 @@
         // Endpoints with a high failure rate are used only if no other has room.
         let mut best: Option<(bool, f64, EndpointIndex)> = None;
         for (index, state, uncached) in usable {
-            let home = homes.of(index);
+            let preference = preferred.of(index);
             let needs_prefill = uncached >= MIN_PREFIX_TOKENS;
             let cost = match prompt {
                 Some(_) if !has_capacity(state, rules) => None,
-                Some(_) if needs_prefill && !may_prefill(state, rules, home, is_cached) => None,
+                Some(_) if needs_prefill && !may_prefill(state, rules, preference, is_cached) => {
+                    None
+                }
                 Some(prompt) => engine_cost(state, prompt, uncached, rules),
                 None => plain_cost(state),
             };
@@ -534,9 +539,9 @@
             state.own.waiting = (state.own.waiting - place.load.waiting).max(0.0);
         }
         for part in &place.parts {
-            if let Some(kept) = state.parts.get_mut(part) {
-                kept.users = kept.users.saturating_sub(1);
-                kept.used = now;
+            if let Some(cached) = state.parts.get_mut(part) {
+                cached.users = cached.users.saturating_sub(1);
+                cached.used = now;
             }
         }
         match end {
@@ -555,7 +560,7 @@
     }
 
     /// Drops expired parts, notices and counts.
-    pub(crate) fn forget_parts(&mut self, now: Moment) {
+    pub(crate) fn remove_expired(&mut self, now: Moment) {
         self.notices.forget(now);
         self.refused
             .retain(|_, w| w.get(now, REFUSED_TIME_CONSTANT) >= MIN_REFUSED_COUNT);
@@ -570,7 +575,7 @@
     }
 
     /// Preferred endpoints for `anchor` by rendezvous hashing, the same at all instances.
-    fn homes(&self, now: Moment, indices: &[EndpointIndex], anchor: u64) -> Homes {
+    fn preferred(&self, now: Moment, indices: &[EndpointIndex], anchor: u64) -> PreferredEndpoints {
         let states = indices.iter().filter_map(|i| Some((*i, self.get(*i)?)));
         let usable = states.filter(|(_, s)| s.is_usable(now));
         let mut first = (0, None);
@@ -585,7 +590,7 @@
                 second = (weight, Some(index));
             }
         }
-        Homes {
+        PreferredEndpoints {
             first: first.1,
             second: second.1,
         }
@@ -602,17 +607,22 @@
 }
 
 /// Whether a request may go to an engine that does not have its shared prefix cached. An uncached
-/// prefix is read at its first home, or at its second home if that is nearly idle. A prefix that is
-/// cached elsewhere is read again only by a nearly idle engine, and only if that cache cannot meet
-/// demand or for an interrupted stream: under load, engine time serves more requests with a cached
-/// prefix.
-fn may_prefill(state: &EndpointState, rules: &PlacementRules, home: Home, is_cached: bool) -> bool {
+/// prefix is read at its first preferred endpoint, or at its second if that is nearly idle. A
+/// prefix that is cached elsewhere is read again only by a nearly idle engine, and only if that
+/// cache cannot meet demand or for an interrupted stream: under load, engine time serves more
+/// requests with a cached prefix.
+fn may_prefill(
+    state: &EndpointState,
+    rules: &PlacementRules,
+    preference: Preference,
+    is_cached: bool,
+) -> bool {
     let load = state.total();
-    let is_home = !is_cached && !home.is_none();
-    if is_home && home.is_first() {
+    let is_preferred = !is_cached && !preference.is_none();
+    if is_preferred && preference.is_first() {
         return true;
     }
-    (!rules.kept_only || is_home)
+    (!rules.cached_only || is_preferred)
         && load.waiting * state.pace < REREAD_MAX_QUEUE_MS
         && load.token_time < rules.token_time * REREAD_TOKEN_TIME_FRACTION
 }
--- a/cornelstand/src/gateway/tests/placement.rs
+++ b/cornelstand/src/gateway/tests/placement.rs
@@ -44,7 +44,7 @@
         left: Duration::from_secs(12),
         cold_share: Some(2),
         centre: CentreName::from("north"),
-        kept_only: false,
+        cached_only: false,
     }
 }
 
@@ -107,21 +107,21 @@
     let prompt = prompt(7, 12_000);
     let first = take(&mut endpoints, at(0), &prompt);
     let mut waiting = rules();
-    waiting.kept_only = true;
-    let mut homes = vec![first.index];
+    waiting.cached_only = true;
+    let mut preferred = vec![first.index];
     let mut last = Ok(first.index);
     for _ in 0..8 {
         last = choose(&endpoints, at(0), MODELS, Some(&prompt), &waiting);
         let Ok(index) = last else { break };
-        homes.push(index);
+        preferred.push(index);
         endpoints.take(at(0), index, Some(&prompt)).expect("listed");
     }
     assert_eq!(last, Err(PlacementError::Full));
-    homes.sort_unstable();
-    homes.dedup();
-    assert_eq!(homes.len(), 1);
+    preferred.sort_unstable();
+    preferred.dedup();
+    assert_eq!(preferred.len(), 1);
     let other = choose(&endpoints, at(0), MODELS, Some(&prompt), &rules());
-    assert!(other.is_ok_and(|index| !homes.contains(&index)));
+    assert!(other.is_ok_and(|index| !preferred.contains(&index)));
 }
 
 #[test]
@@ -189,7 +189,7 @@
             endpoints.end(at(ms), &place, PlaceEnd::Good);
             sent.push(ms);
         }
-        endpoints.forget_parts(at(ms));
+        endpoints.remove_expired(at(ms));
     }
     let most = sent.iter().map(|from| {
         sent.iter()
@@ -280,9 +280,9 @@
     assert_eq!(prompt.advanced(5_000, 6).output, 6);
 }
 
-/// All engines have prompts to read: a prefix is then read at its first home only.
+/// All engines have prompts to read: a prefix is then read at its first preferred endpoint only.
 #[test]
-fn a_busy_second_home_is_not_used() {
+fn a_busy_second_preferred_endpoint_is_not_used() {
     let mut endpoints = engines(3);
     endpoints.set_peers(|_| Load {
         waiting: 3_000.0,
@@ -290,14 +290,14 @@
     });
     let prompt = prompt(7, 6_000);
     let mut waiting = rules();
-    waiting.kept_only = true;
-    let mut homes = Vec::new();
+    waiting.cached_only = true;
+    let mut preferred = Vec::new();
     while let Ok(index) = choose(&endpoints, at(0), MODELS, Some(&prompt), &waiting) {
-        homes.push(index);
+        preferred.push(index);
         endpoints.take(at(0), index, Some(&prompt)).expect("listed");
     }
-    homes.dedup();
-    assert_eq!(homes.len(), 1);
+    preferred.dedup();
+    assert_eq!(preferred.len(), 1);
 }
 
 /// Seen in further/saunaforma-prod: of 5.0 million prefix tokens that engines read, 1.8 million
@@ -306,25 +306,29 @@
 fn a_part_advertised_by_a_peer_attracts_requests() {
     let (mut one, mut other) = (engines(6), engines(6));
     let prompt = prompt(7, 12_000);
-    let home = choose(&one, at(0), MODELS, Some(&prompt), &rules()).expect("room");
-    let elsewhere = (home + 1) % 6;
+    let preferred = choose(&one, at(0), MODELS, Some(&prompt), &rules()).expect("room");
+    let elsewhere = (preferred + 1) % 6;
     let mut place = one.take(at(0), elsewhere, Some(&prompt)).expect("listed");
     one.begin(at(400), &mut place);
-    other.hear_residents(at(440), &one.residents(at(440)));
+    other.record_peer_residents(at(440), &one.residents(at(440)));
     let found = choose(&other, at(450), MODELS, Some(&prompt), &rules());
     assert_eq!(found, Ok(elsewhere));
-    let kept = other
+    let cached = other
         .take(at(450), elsewhere, Some(&prompt))
         .expect("listed");
     // Its own 6,700 tokens are left to read.
-    assert!(kept.prompt_tokens() <= 6_700.0, "{}", kept.prompt_tokens());
-    other.end(at(900), &kept, PlaceEnd::Good);
+    assert!(
+        cached.prompt_tokens() <= 6_700.0,
+        "{}",
+        cached.prompt_tokens()
+    );
+    other.end(at(900), &cached, PlaceEnd::Good);
     // A received advertisement is not repeated, and a sent one is repeated for a limited time.
     assert!(other.residents(at(460)).is_empty());
     assert!(one.residents(at(2_000)).is_empty());
     // The retention time is over.
     let late = choose(&other, at(30_000), MODELS, Some(&prompt), &rules());
-    assert_eq!(late, Ok(home));
+    assert_eq!(late, Ok(preferred));
 }
 
 #[test]
@@ -345,15 +349,15 @@
     let prompt = prompt(7, 12_000);
     for refused in 1..=4 {
         assert!(
-            !endpoints.is_wanted(at(refused * 100), &prompt),
+            !endpoints.should_replicate(at(refused * 100), &prompt),
             "after {}",
             refused - 1
         );
-        endpoints.note_wanted(at(refused * 100), &prompt);
+        endpoints.note_refused_prefix(at(refused * 100), &prompt);
     }
-    assert!(endpoints.is_wanted(at(400), &prompt));
+    assert!(endpoints.should_replicate(at(400), &prompt));
     // A burst in the past does not cause another engine to read the prefix.
-    assert!(!endpoints.is_wanted(at(5_000), &prompt));
-    endpoints.forget_parts(at(20_000));
-    assert!(!endpoints.is_wanted(at(20_000), &prompt));
+    assert!(!endpoints.should_replicate(at(5_000), &prompt));
+    endpoints.remove_expired(at(20_000));
+    assert!(!endpoints.should_replicate(at(20_000), &prompt));
 }
