--- a/cornelstand/src/gateway/acquire.rs
+++ b/cornelstand/src/gateway/acquire.rs
@@ -39,15 +39,18 @@
     let service = call.service.clone();
     let waiting = Waiting::new(now, account, service, &call.route, prompt, remaining);
     let waiting = if call.has_begun {
-        waiting.going_on()
+        waiting.resumed()
     } else {
         waiting
     };
-    if let Some(refused) = unservable(gate, call, waiting.gives_up) {
+    if let Some(refused) = unservable(gate, call, waiting.queue_deadline) {
         return refused;
     }
-    let (cost, wait_deadline) = (waiting.cost(), waiting.gives_up);
-    let until = gate.clock.instant(waiting.gives_up).min(call.deadline);
+    let (cost, wait_deadline) = (waiting.cost(), waiting.queue_deadline);
+    let until = gate
+        .clock
+        .instant(waiting.queue_deadline)
+        .min(call.deadline);
     let mut ticket = match gate.enqueue(waiting, &call.tried) {
         Ok(ticket) => ticket,
         Err(retry_after) => {
@@ -103,7 +106,8 @@
     let (now, account, service) = (gate.now(), call.account_name(), &call.service);
     tracing::info!(
         event = "no_place", request = %call.id(), %account, %service, cost,
-        attained = admission.attained(now, &account), least = admission.least(service),
+        attained = admission.attained_service(now, &account),
+        least = admission.min_attained(service),
         queued = admission.queued(service), rate = admission.rate(now, service),
         waiting = admission.len(),
     );
--- a/cornelstand/src/gateway/admission.rs
+++ b/cornelstand/src/gateway/admission.rs
@@ -56,25 +56,27 @@
 
 /// Unserved demand of one account, as sent to other instances.
 #[derive(Clone, Copy, Debug, Deserialize, PartialEq, Serialize)]
-pub(crate) struct Want {
+pub(crate) struct Demand {
     /// Weighted tokens that the account attained.
-    pub(crate) attained: f32,
+    #[serde(rename = "attained")]
+    pub(crate) attained_service: f32,
     /// Weighted tokens of its queued and recently refused requests.
     pub(crate) tokens: f32,
 }
 
 /// Sorts demands by attained service and merges those with nearly equal values.
-pub(crate) fn join_wants(mut wants: Vec<Want>) -> Vec<Want> {
-    wants.sort_by(|a, b| a.attained.total_cmp(&b.attained));
-    let mut joined: Vec<Want> = Vec::new();
-    for want in wants {
+pub(crate) fn merge_demands(mut demands: Vec<Demand>) -> Vec<Demand> {
+    demands.sort_by(|a, b| a.attained_service.total_cmp(&b.attained_service));
+    let mut joined: Vec<Demand> = Vec::new();
+    for demand in demands {
         match joined.last_mut() {
             Some(last)
-                if want.attained <= last.attained * MERGE_TOLERANCE.0 + MERGE_TOLERANCE.1 =>
+                if demand.attained_service
+                    <= last.attained_service * MERGE_TOLERANCE.0 + MERGE_TOLERANCE.1 =>
             {
-                last.tokens += want.tokens;
+                last.tokens += demand.tokens;
             }
-            _ => joined.push(want),
+            _ => joined.push(demand),
         }
     }
     joined.truncate(MAX_DEMANDS);
@@ -115,11 +117,11 @@
     pub(crate) prompt: Option<Prompt>,
     pub(crate) arrived: Moment,
     /// Latest time at which it may get a place.
-    pub(crate) gives_up: Moment,
+    pub(crate) queue_deadline: Moment,
     /// Deadline for the end of the response.
     pub(crate) ends: Moment,
     /// Until then only an endpoint with the shared prefix in its cache is acceptable.
-    pub(crate) spreads: Moment,
+    pub(crate) cached_until: Moment,
     /// Whether the caller has already received part of the response.
     pub(crate) is_resumed: bool,
 }
@@ -138,19 +140,19 @@
             service,
             prompt,
             arrived: now,
-            gives_up: now.after(route.objective.mul_f64(MAX_WAIT_FRACTION)),
+            queue_deadline: now.after(route.objective.mul_f64(MAX_WAIT_FRACTION)),
             ends: now.after(left),
-            spreads: now.after(route.objective.mul_f64(CACHED_WAIT_FRACTION)),
+            cached_until: now.after(route.objective.mul_f64(CACHED_WAIT_FRACTION)),
             is_resumed: false,
         }
     }
 
     /// Turns the request into the continuation of an interrupted stream, which is served before all
     /// others, since its generated tokens would be lost, and accepts any endpoint.
-    pub(crate) fn going_on(mut self) -> Self {
+    pub(crate) fn resumed(mut self) -> Self {
         self.is_resumed = true;
-        self.spreads = self.arrived;
-        self.gives_up = self.arrived.after(RESUMED_MAX_WAIT).min(self.ends);
+        self.cached_until = self.arrived;
+        self.queue_deadline = self.arrived.after(RESUMED_MAX_WAIT).min(self.ends);
         self
     }
 
@@ -183,7 +185,7 @@
     /// Attained service of the accounts at peers to which others have to yield.
     min_attained: HashMap<ServiceName, f64>,
     /// Moving average of the attained service of the accounts that got places.
-    level: f64,
+    average_attained: f64,
     capacity: HashMap<ServiceName, Capacity>,
 }
 
@@ -197,7 +199,7 @@
     }
 
     /// Recent fleet-wide usage of an account, in weighted tokens.
-    pub(crate) fn attained(&self, now: Moment, account: &AccountName) -> f64 {
+    pub(crate) fn attained_service(&self, now: Moment, account: &AccountName) -> f64 {
         let get = |map: &HashMap<AccountName, DecayingSum>| {
             map.get(account)
                 .map_or(0.0, |f| f.get(now, ATTAINED_TIME_CONSTANT))
@@ -213,31 +215,31 @@
     }
 
     /// Replaces the attained service through the peers.
-    pub(crate) fn set_peers(&mut self, now: Moment, attained: HashMap<AccountName, f64>) {
-        let sums = attained.into_iter();
+    pub(crate) fn set_peers(&mut self, now: Moment, attained_service: HashMap<AccountName, f64>) {
+        let sums = attained_service.into_iter();
         self.peers = sums
             .map(|(name, sum)| (name, DecayingSum::new(now, sum)))
             .collect();
     }
 
     /// Replaces the unserved demand at the peers.
-    pub(crate) fn set_wanting(&mut self, wants: HashMap<ServiceName, Vec<Want>>) {
-        let level = |(service, wants): (ServiceName, Vec<Want>)| {
+    pub(crate) fn set_peer_demands(&mut self, demands: HashMap<ServiceName, Vec<Demand>>) {
+        let min_attained = |(service, demands): (ServiceName, Vec<Demand>)| {
             let all = self.capacity.get(&service).map_or(0.0, |c| c.all);
             let mut left = all * MIN_DEMAND_SECONDS;
-            for want in join_wants(wants) {
-                left -= f64::from(want.tokens);
+            for demand in merge_demands(demands) {
+                left -= f64::from(demand.tokens);
                 if left <= 0.0 {
-                    return Some((service, f64::from(want.attained)));
+                    return Some((service, f64::from(demand.attained_service)));
                 }
             }
             None
         };
-        self.min_attained = wants.into_iter().filter_map(level).collect();
+        self.min_attained = demands.into_iter().filter_map(min_attained).collect();
     }
 
     /// Unserved demand at this instance by service, for the peers.
-    pub(crate) fn wanting(&self, now: Moment) -> HashMap<ServiceName, Vec<Want>> {
+    pub(crate) fn demands(&self, now: Moment) -> HashMap<ServiceName, Vec<Demand>> {
         let mut tokens: HashMap<&ServiceName, HashMap<&AccountName, f64>> = HashMap::new();
         for (service, refused) in &self.refused {
             let accounts = tokens.entry(service).or_default();
@@ -248,29 +250,32 @@
         // A request that still waits for an engine with its prefix cached tells nothing about the
         // capacity of the others.
         let waiting = self.waiting.iter().map(|(_, w)| w);
-        for w in waiting.filter(|w| w.prompt.is_some() && now >= w.spreads) {
+        for w in waiting.filter(|w| w.prompt.is_some() && now >= w.cached_until) {
             let accounts = tokens.entry(&w.service).or_default();
             *accounts.entry(&w.account).or_default() += w.cost();
         }
-        let want = |(account, tokens): (&AccountName, f64)| Want {
-            attained: short(self.attained(now, account)),
+        let demand = |(account, tokens): (&AccountName, f64)| Demand {
+            attained_service: short(self.attained_service(now, account)),
             tokens: short(tokens),
         };
-        let wants = tokens.into_iter().map(|(service, accounts)| {
-            let wants = accounts.into_iter().map(want);
-            let wants = wants.filter(|w| w.tokens >= 1.0).collect();
-            (service.clone(), join_wants(wants))
+        let demands = tokens.into_iter().map(|(service, accounts)| {
+            let demands = accounts.into_iter().map(demand);
+            let demands = demands.filter(|d| d.tokens >= 1.0).collect();
+            (service.clone(), merge_demands(demands))
         });
-        wants.filter(|(_, wants)| !wants.is_empty()).collect()
+        demands.filter(|(_, demands)| !demands.is_empty()).collect()
     }
 
     /// Whether a request has to yield to an account with less attained service at another instance.
     pub(crate) fn must_yield(&self, now: Moment, waiting: &Waiting) -> bool {
-        let least = self.least(&waiting.service);
-        let Some(least) = least.filter(|_| waiting.prompt.is_some() && !waiting.is_resumed) else {
+        let min_attained = self.min_attained(&waiting.service);
+        let Some(min_attained) =
+            min_attained.filter(|_| waiting.prompt.is_some() && !waiting.is_resumed)
+        else {
             return false;
         };
-        self.attained(now, &waiting.account) > least * YIELD_TOLERANCE.0 + YIELD_TOLERANCE.1
+        self.attained_service(now, &waiting.account)
+            > min_attained * YIELD_TOLERANCE.0 + YIELD_TOLERANCE.1
     }
 
     /// Records a request that was refused for lack of capacity.
@@ -296,16 +301,17 @@
 
     /// Queued requests in the order in which they are served.
     pub(crate) fn order(&self, now: Moment) -> Vec<WaitId> {
-        let attained = |w: &Waiting| {
+        let attained_service = |w: &Waiting| {
             if w.is_resumed {
                 -1.0
             } else {
-                self.attained(now, &w.account)
+                self.attained_service(now, &w.account)
             }
         };
         let keys = self.waiting.iter();
-        let mut keys: Vec<(f64, Moment, WaitId)> =
-            keys.map(|(id, w)| (attained(w), w.arrived, *id)).collect();
+        let mut keys: Vec<(f64, Moment, WaitId)> = keys
+            .map(|(id, w)| (attained_service(w), w.arrived, *id))
+            .collect();
         keys.sort_by(|a, b| a.0.total_cmp(&b.0).then(a.1.cmp(&b.1)).then(a.2.cmp(&b.2)));
         keys.into_iter().map(|(_, _, id)| id).collect()
     }
@@ -317,8 +323,8 @@
     /// Charges the account of a request that got a place.
     pub(crate) fn charge(&mut self, now: Moment, waiting: &Waiting) {
         let cost = waiting.cost();
-        let attained = self.attained(now, &waiting.account);
-        self.level += 0.05 * (attained - self.level);
+        let attained_service = self.attained_service(now, &waiting.account);
+        self.average_attained += 0.05 * (attained_service - self.average_attained);
         let own = match self.own.get_mut(&waiting.account) {
             Some(own) => own,
             None => self.own.entry(waiting.account.clone()).or_default(),
@@ -336,7 +342,7 @@
     }
 
     /// Whether a queued request is expected to miss its wait limit.
-    pub(crate) fn is_hopeless(&self, now: Moment, id: WaitId) -> bool {
+    pub(crate) fn exceeds_wait(&self, now: Moment, id: WaitId) -> bool {
         if self.waiting.len() > MAX_QUEUE_LEN {
             return true;
         }
@@ -345,29 +351,29 @@
         let Some(waiting) = self.get(id).filter(may_refuse) else {
             return false;
         };
-        let attained = self.attained(now, &waiting.account);
+        let attained_service = self.attained_service(now, &waiting.account);
         let is_ahead = |(other, w): &&(WaitId, Waiting)| {
             *other != id
                 && w.service == waiting.service
-                && self.attained(now, &w.account) <= attained
+                && self.attained_service(now, &w.account) <= attained_service
         };
         let ahead = self.waiting.iter().filter(is_ahead);
         let ahead: f64 = ahead.map(|(_, w)| w.cost()).sum();
         let rate = self.rate(now, &waiting.service);
-        ahead > rate * waiting.gives_up.since(now).as_secs_f64()
+        ahead > rate * waiting.queue_deadline.since(now).as_secs_f64()
     }
 
     /// Retry time for a refused request of `account`.
-    pub(crate) fn return_after(&self, now: Moment, account: &AccountName) -> Duration {
-        let attained = self.attained(now, account);
-        let ratio = (attained / self.level.max(1.0)).max(1.0);
+    pub(crate) fn retry_after(&self, now: Moment, account: &AccountName) -> Duration {
+        let attained_service = self.attained_service(now, account);
+        let ratio = (attained_service / self.average_attained.max(1.0)).max(1.0);
         let time = ATTAINED_TIME_CONSTANT.mul_f64(ratio.ln());
         time.clamp(RETRY_AFTER_MIN, RETRY_AFTER_MAX)
     }
 
     /// Moving average of the attained service of the accounts that got places.
-    pub(crate) fn level(&self) -> f64 {
-        self.level
+    pub(crate) fn average_attained(&self) -> f64 {
+        self.average_attained
     }
 
     /// Sets the throughput of a service over all `instances`, in weighted tokens per second.
@@ -378,7 +384,7 @@
     }
 
     /// Attained service of the account at a peer to which others yield, if there is one.
-    pub(crate) fn least(&self, service: &ServiceName) -> Option<f64> {
+    pub(crate) fn min_attained(&self, service: &ServiceName) -> Option<f64> {
         self.min_attained.get(service).copied()
     }
 
--- a/cornelstand/src/gateway/call.rs
+++ b/cornelstand/src/gateway/call.rs
@@ -464,7 +464,7 @@
         .state
         .borrow()
         .admission
-        .return_after(gate.now(), &account);
+        .retry_after(gate.now(), &account);
     Next::Respond(Refused::new(status, reason, Some(retry_after)))
 }
 
@@ -503,8 +503,8 @@
     tracing::info!(
         event = "placed", request = %call.id(), endpoint = %endpoint.record.name, %account,
         ahead = place.ahead(), cost = place.charged,
-        attained = state.admission.attained(gate.now(), &account),
-        least = state.admission.least(&call.service),
+        attained = state.admission.attained_service(gate.now(), &account),
+        least = state.admission.min_attained(&call.service),
         waiting = state.admission.len(), version = call.version,
         fingerprint = %call.fingerprint, crashes = state.suspects.crashes(call.fingerprint),
     );
--- a/cornelstand/src/gateway/gate.rs
+++ b/cornelstand/src/gateway/gate.rs
@@ -67,7 +67,7 @@
         if let Some(prompt) = &waiting.prompt {
             self.endpoints.note_refused_prefix(now, prompt);
         }
-        self.admission.return_after(now, &waiting.account)
+        self.admission.retry_after(now, &waiting.account)
     }
 }
 
@@ -193,7 +193,7 @@
         if let Some(rules) = self.rules(&state, &service) {
             self.grant_place(&mut state, now, id, &rules);
         }
-        if state.waiters.contains_key(&id) && state.admission.is_hopeless(now, id) {
+        if state.waiters.contains_key(&id) && state.admission.exceeds_wait(now, id) {
             return Err(state.refuse(now, id));
         }
         self.metrics.waiting.set(gauge(state.admission.len()));
@@ -397,7 +397,8 @@
                 event = "load", %service, endpoints = summary.usable, running = summary.running,
                 prompt_tokens = summary.waiting, memory = summary.memory,
                 token_ms = summary.token_time, token_ms_limit = state.outputs.token_time(service),
-                pace = summary.pace, waiting = state.admission.len(), level = state.admission.level(),
+                pace = summary.pace, waiting = state.admission.len(),
+                level = state.admission.average_attained(),
                 peers = state.peers.live(now).count(),
             );
         }
@@ -504,10 +505,10 @@
         state.outputs.set_peers(state.peers.token_times(now));
         state
             .admission
-            .set_peers(now, state.peers.attained(now, centre));
+            .set_peers(now, state.peers.attained_service(now, centre));
         state
             .admission
-            .set_wanting(state.peers.wanting(now, centre));
+            .set_peer_demands(state.peers.demands(now, centre));
     }
 
     /// Builds the next heartbeat.
@@ -530,9 +531,9 @@
         self.metrics.untold.inc_by(outbox.take_unsent());
         let loads = state.endpoints.own_loads();
         let loads = loads.map(|(key, load)| PeerLoad::new(key, load));
-        let wanting = state.admission.wanting(now);
-        let attained = state.admission.own(now);
-        let attained = attained.filter(|(_, sum)| *sum >= 1.0);
+        let demands = state.admission.demands(now);
+        let attained_service = state.admission.own(now);
+        let attained_service = attained_service.filter(|(_, sum)| *sum >= 1.0);
         Heartbeat {
             instance: settings.instance.clone(),
             centre: settings.centre.clone(),
@@ -547,10 +548,10 @@
             version: state.directory.catalog().version,
             stopping: self.stopping.get(),
             loads: loads.collect(),
-            attained: attained
+            attained_service: attained_service
                 .map(|(name, sum)| (name.clone(), short(sum)))
                 .collect(),
-            wanting: wanting.into_iter().collect(),
+            demands: demands.into_iter().collect(),
             token_times: state
                 .outputs
                 .own_times()
@@ -600,7 +601,7 @@
             return false;
         };
         let available_from = available_from(state, now, &waiting.service, &waiter.tried);
-        available_from.is_none_or(|o| o > waiting.gives_up)
+        available_from.is_none_or(|o| o > waiting.queue_deadline)
     };
     let unservable: Vec<WaitId> = state
         .waiters
@@ -627,7 +628,7 @@
     let mut rules = rules.clone();
     let prompt = waiting.prompt.as_ref();
     let should_replicate = prompt.is_some_and(|p| state.endpoints.should_replicate(now, p));
-    rules.cached_only = now < waiting.spreads && !should_replicate;
+    rules.cached_only = now < waiting.cached_until && !should_replicate;
     rules.left = waiting.ends.since(now);
     let tried = &state.waiters.get(&id)?.tried;
     let directory = &state.directory;
--- a/cornelstand/src/gateway/peers.rs
+++ b/cornelstand/src/gateway/peers.rs
@@ -12,7 +12,7 @@
 
 use serde::{Deserialize, Serialize};
 
-use crate::gateway::admission::{Want, join_wants};
+use crate::gateway::admission::{Demand, merge_demands};
 use crate::gateway::directory::{EndpointRecord, Marks};
 use crate::gateway::endpoint_state::Load;
 use crate::gateway::number::{float, short, whole};
@@ -59,9 +59,11 @@
     pub(crate) version: u64,
     pub(crate) stopping: bool,
     pub(crate) loads: Vec<PeerLoad>,
-    pub(crate) attained: Vec<(AccountName, f32)>,
+    #[serde(rename = "attained")]
+    pub(crate) attained_service: Vec<(AccountName, f32)>,
     /// Demand of accounts at the sender, by service.
-    pub(crate) wanting: Vec<(ServiceName, Vec<Want>)>,
+    #[serde(rename = "wanting")]
+    pub(crate) demands: Vec<(ServiceName, Vec<Demand>)>,
     /// Longest token intervals at which long answers still end in time, in milliseconds, as seen at
     /// the sender, by service.
     pub(crate) token_times: Vec<(ServiceName, f32)>,
@@ -124,8 +126,10 @@
     pub(crate) version: u64,
     pub(crate) members: usize,
     pub(crate) loads: Vec<PeerLoad>,
-    pub(crate) attained: Vec<(AccountName, f32)>,
-    pub(crate) wanting: Vec<(ServiceName, Vec<Want>)>,
+    #[serde(rename = "attained")]
+    pub(crate) attained_service: Vec<(AccountName, f32)>,
+    #[serde(rename = "wanting")]
+    pub(crate) demands: Vec<(ServiceName, Vec<Demand>)>,
     #[serde(rename = "news")]
     pub(crate) updates: Updates,
 }
@@ -281,8 +285,8 @@
         let neighbours = self.live(now).filter(|b| b.centre == own.centre);
         let heartbeats: Vec<&Heartbeat> = neighbours.chain([own]).collect();
         let loads = sum_loads(heartbeats.iter().flat_map(|b| &b.loads));
-        let attained = sum_attained(heartbeats.iter().flat_map(|b| &b.attained));
-        let wanting = merge_wanting(heartbeats.iter().flat_map(|b| &b.wanting));
+        let attained_service = sum_attained(heartbeats.iter().flat_map(|b| &b.attained_service));
+        let demands = collect_demands(heartbeats.iter().flat_map(|b| &b.demands));
         let members = self.peers.values().filter(|p| p.centre == own.centre);
         Digest {
             members: members.count() + 1,
@@ -290,13 +294,13 @@
                 .into_iter()
                 .map(|(key, load)| PeerLoad::new(key, load))
                 .collect(),
-            attained: attained
+            attained_service: attained_service
                 .into_iter()
                 .map(|(a, sum)| (a, short(sum)))
                 .collect(),
-            wanting: wanting
+            demands: demands
                 .into_iter()
-                .map(|(s, wants)| (s, join_wants(wants)))
+                .map(|(s, demands)| (s, merge_demands(demands)))
                 .collect(),
             updates: Updates {
                 suspicions: own.updates.suspicions.clone(),
@@ -424,23 +428,32 @@
     }
 
     /// Usage that accounts attained through all live peers.
-    pub(crate) fn attained(&self, now: Moment, centre: &CentreName) -> HashMap<AccountName, f64> {
+    pub(crate) fn attained_service(
+        &self,
+        now: Moment,
+        centre: &CentreName,
+    ) -> HashMap<AccountName, f64> {
         let heartbeats = self
             .undigested_heartbeats(now, centre)
-            .flat_map(|b| &b.attained);
-        sum_attained(heartbeats.chain(self.fresh_digests(now, centre).flat_map(|d| &d.attained)))
+            .flat_map(|b| &b.attained_service);
+        sum_attained(
+            heartbeats.chain(
+                self.fresh_digests(now, centre)
+                    .flat_map(|d| &d.attained_service),
+            ),
+        )
     }
 
     /// Demand of accounts at live peers, by service.
-    pub(crate) fn wanting(
+    pub(crate) fn demands(
         &self,
         now: Moment,
         centre: &CentreName,
-    ) -> HashMap<ServiceName, Vec<Want>> {
+    ) -> HashMap<ServiceName, Vec<Demand>> {
         let heartbeats = self
             .undigested_heartbeats(now, centre)
-            .flat_map(|b| &b.wanting);
-        merge_wanting(heartbeats.chain(self.fresh_digests(now, centre).flat_map(|d| &d.wanting)))
+            .flat_map(|b| &b.demands);
+        collect_demands(heartbeats.chain(self.fresh_digests(now, centre).flat_map(|d| &d.demands)))
     }
 
     /// Instance of `centre` with newer endpoints or evacuations than `marks`.
@@ -494,21 +507,21 @@
 }
 
 fn sum_attained<'a>(
-    attained: impl Iterator<Item = &'a (AccountName, f32)>,
+    attained_service: impl Iterator<Item = &'a (AccountName, f32)>,
 ) -> HashMap<AccountName, f64> {
     let mut sums: HashMap<AccountName, f64> = HashMap::new();
-    for (name, sum) in attained {
+    for (name, sum) in attained_service {
         *sums.entry(name.clone()).or_default() += f64::from(*sum);
     }
     sums
 }
 
-fn merge_wanting<'a>(
-    wanting: impl Iterator<Item = &'a (ServiceName, Vec<Want>)>,
-) -> HashMap<ServiceName, Vec<Want>> {
-    let mut joined: HashMap<ServiceName, Vec<Want>> = HashMap::new();
-    for (service, wants) in wanting {
-        joined.entry(service.clone()).or_default().extend(wants);
+fn collect_demands<'a>(
+    demands: impl Iterator<Item = &'a (ServiceName, Vec<Demand>)>,
+) -> HashMap<ServiceName, Vec<Demand>> {
+    let mut joined: HashMap<ServiceName, Vec<Demand>> = HashMap::new();
+    for (service, demands) in demands {
+        joined.entry(service.clone()).or_default().extend(demands);
     }
     joined
 }
--- a/cornelstand/src/gateway/tests/heavy_load.rs
+++ b/cornelstand/src/gateway/tests/heavy_load.rs
@@ -307,9 +307,10 @@
                 let prompt = Some(job.prompt.clone());
                 let queued =
                     Waiting::new(gate.now(), account, service, route, prompt, route.timeout);
-                let gives_up = now + queued.gives_up.since(gate.now()).as_millis() as u64;
+                let queue_deadline =
+                    now + queued.queue_deadline.since(gate.now()).as_millis() as u64;
                 match gate.enqueue(queued, &[]) {
-                    Ok(ticket) => waiting.push((next, ticket, gives_up)),
+                    Ok(ticket) => waiting.push((next, ticket, queue_deadline)),
                     Err(_) => outcomes[next].refused = Some(now),
                 }
             }
@@ -335,13 +336,13 @@
                 gate.serve_queue();
             }
         }
-        waiting.retain_mut(|(job, ticket, gives_up)| {
+        waiting.retain_mut(|(job, ticket, queue_deadline)| {
             if let Ok(place) = ticket.grant.try_recv() {
                 engines[place.index].admit(*job, &jobs[*job].prompt, &mut seen);
                 places.insert(*job, (place, jobs[*job].instance));
                 return false;
             }
-            if now >= *gives_up {
+            if now >= *queue_deadline {
                 gates[jobs[*job].instance].withdraw(ticket.id);
                 outcomes[*job].refused = Some(now);
                 return false;
--- a/cornelstand/src/gateway/tests/peers.rs
+++ b/cornelstand/src/gateway/tests/peers.rs
@@ -4,7 +4,7 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-use crate::gateway::admission::Want;
+use crate::gateway::admission::Demand;
 use crate::gateway::directory::Marks;
 use crate::gateway::peers::{Heartbeat, PeerLoad, Peers, Updates};
 use crate::gateway::tests::{gate, settings};
@@ -44,11 +44,11 @@
             memory: 1_000.0,
             token_time: 8.0,
         }],
-        attained: vec![(AccountName::from("ada"), 10.0)],
-        wanting: vec![(
+        attained_service: vec![(AccountName::from("ada"), 10.0)],
+        demands: vec![(
             ServiceName::from("models"),
-            vec![Want {
-                attained: 4.0,
+            vec![Demand {
+                attained_service: 4.0,
                 tokens: 100.0,
             }],
         )],
