--- a/cornelstand/src/gateway/admin.rs
+++ b/cornelstand/src/gateway/admin.rs
@@ -72,8 +72,8 @@
             Err(error) => (500, TEXT, error.to_string().into_bytes()),
         },
         (Role::Control, "/beliefs") => {
-            let beliefs = gate.state.borrow().directory.beliefs(gate.now());
-            match serde_json::to_vec(&beliefs) {
+            let snapshot = gate.state.borrow().directory.snapshot(gate.now());
+            match serde_json::to_vec(&snapshot) {
                 Ok(json) => (200, "application/json", json),
                 Err(error) => (500, TEXT, error.to_string().into_bytes()),
             }
--- a/cornelstand/src/gateway/containment.rs
+++ b/cornelstand/src/gateway/containment.rs
@@ -68,7 +68,7 @@
         }
         let mut crash = Crash {
             endpoint: ran.name.clone(),
-            boot: Some(BootId(ran.born)),
+            boot: Some(BootId(ran.started_at)),
         };
         let was_known = self
             .state
--- a/cornelstand/src/gateway/directory.rs
+++ b/cornelstand/src/gateway/directory.rs
@@ -35,7 +35,8 @@
 pub(crate) struct EndpointRecord {
     pub(crate) name: EndpointName,
     /// Process start, Unix time in milliseconds; zero if unknown.
-    pub(crate) born: u64,
+    #[serde(rename = "born")]
+    pub(crate) started_at: u64,
     pub(crate) service: ServiceName,
     pub(crate) centre: CentreName,
     pub(crate) address: SocketAddr,
@@ -78,21 +79,21 @@
     evacuated: BTreeSet<CentreName>,
     store: StoreState,
     listed: bool,
-    marks: Marks,
+    versions: ViewVersions,
     /// Number of times a peer's view was adopted.
     adoptions: u64,
 }
 
 /// Version of one part of the view.
 #[derive(Clone, Copy, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
-pub(crate) struct Mark {
+pub(crate) struct ViewVersion {
     /// Store revision at the last change.
     pub(crate) revision: u64,
     /// Hash of the contents, which identifies a change that was seen at two revisions.
     pub(crate) hash: u64,
 }
 
-impl Mark {
+impl ViewVersion {
     fn is_newer(self, other: Self) -> bool {
         self.hash != other.hash && self.revision > other.revision
     }
@@ -110,13 +111,13 @@
 /// Versions of a view. Endpoints and evacuations are watched separately, so their revisions are not
 /// comparable.
 #[derive(Clone, Copy, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
-pub(crate) struct Marks {
-    pub(crate) endpoints: Mark,
-    pub(crate) evacuations: Mark,
+pub(crate) struct ViewVersions {
+    pub(crate) endpoints: ViewVersion,
+    pub(crate) evacuations: ViewVersion,
 }
 
-impl Marks {
-    /// Whether any part of a view with these marks is newer.
+impl ViewVersions {
+    /// Whether any part of a view with these versions is newer.
     pub(crate) fn are_newer(self, other: Self) -> bool {
         self.endpoints.is_newer(other.endpoints) || self.evacuations.is_newer(other.evacuations)
     }
@@ -132,11 +133,12 @@
 
 /// A view as sent to another instance.
 #[derive(Clone, Debug, Default, Deserialize, Serialize)]
-pub(crate) struct Beliefs {
+pub(crate) struct DirectorySnapshot {
     pub(crate) catalog: Catalog,
     pub(crate) endpoints: Vec<EndpointSnapshot>,
     pub(crate) evacuated: BTreeSet<CentreName>,
-    pub(crate) marks: Marks,
+    #[serde(rename = "marks")]
+    pub(crate) versions: ViewVersions,
 }
 
 impl Directory {
@@ -147,7 +149,7 @@
             evacuated: BTreeSet::new(),
             store: StoreState::Unavailable(None),
             listed: false,
-            marks: Marks::default(),
+            versions: ViewVersions::default(),
             adoptions: 0,
         }
     }
@@ -175,7 +177,7 @@
     }
 
     /// Records a failed store call. Returns whether the store was available before.
-    pub(crate) fn lose_store(&mut self, now: Moment) -> bool {
+    pub(crate) fn mark_store_lost(&mut self, now: Moment) -> bool {
         let was_available = self.has_store();
         self.store = StoreState::Unavailable(Some(now));
         was_available
@@ -191,7 +193,7 @@
 
     /// Records that the store has answered this instance or a peer since `since`. Returns whether
     /// it was unavailable to this instance before.
-    pub(crate) fn regain_store(&mut self, since: Moment) -> bool {
+    pub(crate) fn mark_store_available(&mut self, since: Moment) -> bool {
         let was_unavailable = !self.has_store();
         if was_unavailable {
             self.store = StoreState::AvailableSince(since);
@@ -256,7 +258,7 @@
         expires_at: Option<Moment>,
     ) -> Option<EndpointChange> {
         if let Some(known) = self.endpoints.get_mut(&record.name) {
-            if known.record.born > record.born {
+            if known.record.started_at > record.started_at {
                 return None;
             }
             if *known.record == record {
@@ -324,21 +326,21 @@
     }
 
     /// Copy of the view for another instance.
-    pub(crate) fn beliefs(&self, now: Moment) -> Beliefs {
+    pub(crate) fn snapshot(&self, now: Moment) -> DirectorySnapshot {
         let snapshot = |k: &KnownEndpoint| EndpointSnapshot {
             record: (*k.record).clone(),
             lapses: k.expires_at.map(|l| l.since(now)),
         };
-        Beliefs {
+        DirectorySnapshot {
             catalog: (*self.catalog).clone(),
             endpoints: self.endpoints.values().map(snapshot).collect(),
             evacuated: self.evacuated.clone(),
-            marks: self.marks,
+            versions: self.versions,
         }
     }
 
-    pub(crate) fn marks(&self) -> Marks {
-        self.marks
+    pub(crate) fn versions(&self) -> ViewVersions {
+        self.versions
     }
 
     /// Marks the endpoints as current at store `revision`. Returns whether they changed.
@@ -347,7 +349,7 @@
         for (name, known) in &self.endpoints {
             let record = &known.record;
             hash.update(name.as_str().as_bytes());
-            hash.update(&record.born.to_le_bytes());
+            hash.update(&record.started_at.to_le_bytes());
             let flags = [
                 record.leaving,
                 record.cold.is_zero(),
@@ -355,7 +357,7 @@
             ];
             hash.update(&flags.map(u8::from));
         }
-        self.marks.endpoints.advance(revision, hash.digest())
+        self.versions.endpoints.advance(revision, hash.digest())
     }
 
     /// Marks the evacuations as current at store `revision`. Returns whether they changed.
@@ -365,30 +367,42 @@
             hash.update(centre.as_str().as_bytes());
             hash.update(&[0]);
         }
-        self.marks.evacuations.advance(revision, hash.digest())
+        self.versions.evacuations.advance(revision, hash.digest())
     }
 
     /// Adopts those parts of a peer's view that are newer.
-    pub(crate) fn adopt(&mut self, now: Moment, beliefs: Beliefs) -> Vec<EndpointChange> {
+    pub(crate) fn adopt(
+        &mut self,
+        now: Moment,
+        snapshot: DirectorySnapshot,
+    ) -> Vec<EndpointChange> {
         self.adoptions += 1;
-        if beliefs.marks.evacuations.is_newer(self.marks.evacuations) {
-            self.marks.evacuations = beliefs.marks.evacuations;
-            self.evacuated = beliefs.evacuated;
+        if snapshot
+            .versions
+            .evacuations
+            .is_newer(self.versions.evacuations)
+        {
+            self.versions.evacuations = snapshot.versions.evacuations;
+            self.evacuated = snapshot.evacuated;
         }
-        if !beliefs.marks.endpoints.is_newer(self.marks.endpoints) {
+        if !snapshot
+            .versions
+            .endpoints
+            .is_newer(self.versions.endpoints)
+        {
             return Vec::new();
         }
         self.listed = true;
-        self.marks.endpoints = beliefs.marks.endpoints;
-        let missing = self.missing(beliefs.endpoints.iter().map(|b| &b.record));
+        self.versions.endpoints = snapshot.versions.endpoints;
+        let missing = self.missing(snapshot.endpoints.iter().map(|b| &b.record));
         let removed = missing.into_iter().map(|name| {
             self.endpoints.remove(&name);
             EndpointChange::Removed(name)
         });
         let mut changes: Vec<EndpointChange> = removed.collect();
-        for snapshot in beliefs.endpoints {
-            let expires_at = snapshot.lapses.map(|l| now.after(l));
-            changes.extend(self.put(snapshot.record, expires_at));
+        for endpoint in snapshot.endpoints {
+            let expires_at = endpoint.lapses.map(|l| now.after(l));
+            changes.extend(self.put(endpoint.record, expires_at));
         }
         changes
     }
--- a/cornelstand/src/gateway/follow.rs
+++ b/cornelstand/src/gateway/follow.rs
@@ -14,7 +14,7 @@
 use tokio::time::{Instant, sleep};
 
 use crate::gateway::catalog::Catalog;
-use crate::gateway::directory::{Beliefs, EndpointRecord};
+use crate::gateway::directory::{DirectorySnapshot, EndpointRecord};
 use crate::gateway::gate::Gate;
 use crate::gateway::settings::{GatewaySettings, peer_address};
 use crate::gateway::upstream::Upstream;
@@ -47,9 +47,9 @@
 const LEADER_LIST_PERIOD: Duration = Duration::from_secs(10);
 /// Interval of checking the peers for newer state.
 const PEER_CHECK_PERIOD: Duration = Duration::from_millis(100);
-/// Timeout for fetching the beliefs of a peer.
+/// Timeout for fetching the directory snapshot of a peer.
 const PEER_TIMEOUT: Duration = Duration::from_millis(800);
-/// Largest beliefs that are accepted from a peer.
+/// Largest directory snapshot that is accepted from a peer.
 const MAX_BELIEFS_BYTES: usize = 16 * 1024 * 1024;
 
 /// Followed kinds.
@@ -90,7 +90,7 @@
             sleep(PEER_CHECK_PERIOD).await;
             continue;
         }
-        // Adopted beliefs are newer than the revision of the last watch.
+        // An adopted snapshot is newer than the revision of the last watch.
         let adopted = gate.state.borrow().directory.adoptions();
         if std::mem::replace(&mut adoptions, adopted) != adopted {
             revision = None;
@@ -149,14 +149,24 @@
         tracing::info!(event = "store_history_gone", %followed);
         return;
     }
-    if gate.state.borrow_mut().directory.lose_store(gate.now()) {
+    if gate
+        .state
+        .borrow_mut()
+        .directory
+        .mark_store_lost(gate.now())
+    {
         tracing::warn!(event = "store_lost", %followed, %error);
     }
 }
 
 fn note_store_answer(gate: &Gate, followed: Followed) {
     let since = gate.store_since();
-    if gate.state.borrow_mut().directory.regain_store(since) {
+    if gate
+        .state
+        .borrow_mut()
+        .directory
+        .mark_store_available(since)
+    {
         tracing::info!(event = "store_regained", %followed);
     }
 }
@@ -399,13 +409,13 @@
     let state = gate.state.borrow();
     let centre = &gate.settings.borrow().centre;
     let now = gate.now();
-    let newer_beliefs = state
+    let newer_snapshot = state
         .peers
-        .newer_beliefs(now, centre, state.directory.marks());
+        .newer_snapshot(now, centre, state.directory.versions());
     let newer_config = state
         .peers
         .newer_config(now, state.directory.catalog().version);
-    newer_beliefs
+    newer_snapshot
         .filter(|_| may_adopt)
         .or(newer_config.map(|(_, address)| address))
 }
@@ -416,9 +426,9 @@
 }
 
 async fn sync_from(gate: &Gate, address: SocketAddr) {
-    let fetched = tokio::time::timeout(PEER_TIMEOUT, fetch_beliefs(address)).await;
-    let mut beliefs = match fetched {
-        Ok(Ok(beliefs)) => beliefs,
+    let fetched = tokio::time::timeout(PEER_TIMEOUT, fetch_snapshot(address)).await;
+    let mut snapshot = match fetched {
+        Ok(Ok(snapshot)) => snapshot,
         Ok(Err(error)) => {
             tracing::debug!(event = "beliefs_unread", %address, error);
             return;
@@ -428,27 +438,27 @@
             return;
         }
     };
-    let catalog = std::mem::take(&mut beliefs.catalog);
+    let catalog = std::mem::take(&mut snapshot.catalog);
     apply_catalog(gate, catalog, "peer", 0);
     let mut state = gate.state.borrow_mut();
-    let is_newer = beliefs.marks.are_newer(state.directory.marks());
+    let is_newer = snapshot.versions.are_newer(state.directory.versions());
     drop(state);
     if !is_newer || !follows_peers(gate) {
         return;
     }
     state = gate.state.borrow_mut();
     tracing::info!(
-        event = "beliefs_adopted", %address, revision = beliefs.marks.endpoints.revision,
-        evacuation_revision = beliefs.marks.evacuations.revision,
-        endpoints = beliefs.endpoints.len(), evacuated = ?beliefs.evacuated,
+        event = "beliefs_adopted", %address, revision = snapshot.versions.endpoints.revision,
+        evacuation_revision = snapshot.versions.evacuations.revision,
+        endpoints = snapshot.endpoints.len(), evacuated = ?snapshot.evacuated,
     );
-    let changes = state.directory.adopt(gate.now(), beliefs);
+    let changes = state.directory.adopt(gate.now(), snapshot);
     drop(state);
     gate.apply(changes);
     gate.heartbeat_trigger.notify_one();
 }
 
-async fn fetch_beliefs(address: SocketAddr) -> Result<Beliefs, String> {
+async fn fetch_snapshot(address: SocketAddr) -> Result<DirectorySnapshot, String> {
     let text = |e: &dyn std::fmt::Display| e.to_string();
     let connection = Upstream::connect(address, PEER_TIMEOUT).await;
     let mut connection = connection.map_err(|e| text(&e))?;
--- a/cornelstand/src/gateway/gate.rs
+++ b/cornelstand/src/gateway/gate.rs
@@ -361,7 +361,7 @@
                     tracing::info!(
                         event = "endpoint_listed", endpoint = %record.name, service = %record.service,
                         address = %record.address, centre = %record.centre, leaving = record.leaving,
-                        cold_ms = record.cold.as_millis(), born = record.born,
+                        cold_ms = record.cold.as_millis(), born = record.started_at,
                     );
                     state.endpoints.put(now, record);
                 }
@@ -543,7 +543,7 @@
             number: state.heartbeat_count,
             store_time: state.directory.store_time(now),
             store_lost: state.directory.is_store_lost(now),
-            marks: state.directory.marks(),
+            versions: state.directory.versions(),
             beliefs: settings.control.unwrap_or(settings.readiness),
             version: state.directory.catalog().version,
             stopping: self.stopping.get(),
--- a/cornelstand/src/gateway/peers.rs
+++ b/cornelstand/src/gateway/peers.rs
@@ -13,7 +13,7 @@
 use serde::{Deserialize, Serialize};
 
 use crate::gateway::admission::{Demand, merge_demands};
-use crate::gateway::directory::{EndpointRecord, Marks};
+use crate::gateway::directory::{EndpointRecord, ViewVersions};
 use crate::gateway::endpoint_state::Load;
 use crate::gateway::number::{float, short, whole};
 use crate::gateway::residency::{Resident, join_residents};
@@ -52,8 +52,9 @@
     /// Whether the sender's calls to the store failed recently.
     pub(crate) store_lost: bool,
     /// Versions of the sender's endpoints and evacuations.
-    pub(crate) marks: Marks,
-    /// Address that serves the sender's beliefs.
+    #[serde(rename = "marks")]
+    pub(crate) versions: ViewVersions,
+    /// Address that serves the sender's directory snapshot.
     pub(crate) beliefs: SocketAddr,
     /// Version of the configuration in force at the sender.
     pub(crate) version: u64,
@@ -108,7 +109,7 @@
 /// Hash that identifies one lifetime of an endpoint.
 pub(crate) fn endpoint_key(record: &EndpointRecord) -> u32 {
     let name = record.name.as_str().as_bytes();
-    let hash = xxhash_rust::xxh3::xxh3_64_with_seed(name, record.born);
+    let hash = xxhash_rust::xxh3::xxh3_64_with_seed(name, record.started_at);
     u32::try_from(hash >> 32).unwrap_or_default()
 }
 
@@ -120,7 +121,7 @@
     pub(crate) order: (u64, u64),
     /// Peer address of the sender; the datagram may come from an instance that forwarded it.
     pub(crate) sender: SocketAddr,
-    /// Address that serves the sender's beliefs.
+    /// Address that serves the sender's directory snapshot.
     pub(crate) beliefs: SocketAddr,
     /// Version of the configuration in force at the sender.
     pub(crate) version: u64,
@@ -456,16 +457,21 @@
         collect_demands(heartbeats.chain(self.fresh_digests(now, centre).flat_map(|d| &d.demands)))
     }
 
-    /// Instance of `centre` with newer endpoints or evacuations than `marks`.
-    pub(crate) fn newer_beliefs(
+    /// Instance of `centre` with newer endpoints or evacuations than `versions`.
+    pub(crate) fn newer_snapshot(
         &self,
         now: Moment,
         centre: &CentreName,
-        marks: Marks,
+        versions: ViewVersions,
     ) -> Option<SocketAddr> {
         let neighbours = self.live(now).filter(|b| b.centre == *centre);
-        let newer = neighbours.filter(|b| b.marks.are_newer(marks));
-        let revisions = |b: &&Heartbeat| (b.marks.evacuations.revision, b.marks.endpoints.revision);
+        let newer = neighbours.filter(|b| b.versions.are_newer(versions));
+        let revisions = |b: &&Heartbeat| {
+            (
+                b.versions.evacuations.revision,
+                b.versions.endpoints.revision,
+            )
+        };
         newer.max_by_key(revisions).map(|b| b.beliefs)
     }
 
--- a/cornelstand/src/gateway/placement.rs
+++ b/cornelstand/src/gateway/placement.rs
@@ -214,7 +214,7 @@
     pub(crate) fn is_replaced(&self, record: &EndpointRecord) -> bool {
         let mut listed = self.states.iter().flatten().map(|s| &s.record);
         listed.any(|r| {
-            let is_same = r.name == record.name && r.born == record.born;
+            let is_same = r.name == record.name && r.started_at == record.started_at;
             !is_same && (r.name == record.name || r.address == record.address)
         })
     }
@@ -245,7 +245,9 @@
         if let Some(index) = self.find(&record.name)
             && let Some(state) = &mut self.states[index]
         {
-            if state.record.born == record.born && state.record.service == record.service {
+            if state.record.started_at == record.started_at
+                && state.record.service == record.service
+            {
                 state.cold_until = now.after(record.cold);
                 state.record = record;
                 return;
--- a/cornelstand/src/gateway/tests.rs
+++ b/cornelstand/src/gateway/tests.rs
@@ -125,7 +125,7 @@
 pub(crate) fn record(name: &str, service: &str, address: SocketAddr) -> EndpointRecord {
     EndpointRecord {
         name: EndpointName::from(name),
-        born: 1,
+        started_at: 1,
         service: ServiceName::from(service),
         centre: CentreName::from("north"),
         address,
@@ -156,7 +156,7 @@
     let now = gate.now();
     let changes: Vec<EndpointChange> = {
         let mut state = gate.state.borrow_mut();
-        state.directory.regain_store(now);
+        state.directory.mark_store_available(now);
         state.directory.list_endpoints(now, records)
     };
     gate.apply(changes);
--- a/cornelstand/src/gateway/tests/directory.rs
+++ b/cornelstand/src/gateway/tests/directory.rs
@@ -27,7 +27,7 @@
 #[test]
 fn an_endpoint_is_removed_at_once_while_the_store_is_available() {
     let mut directory = Directory::new();
-    directory.regain_store(at(0));
+    directory.mark_store_available(at(0));
     directory.list_endpoints(at(0), vec![entry("a")]);
     let change = directory.remove_endpoint(at(10_000), &"a".into());
     assert_eq!(change, Some(EndpointChange::Removed("a".into())));
@@ -36,10 +36,10 @@
 #[test]
 fn an_endpoint_whose_entry_lapsed_in_an_outage_is_kept_for_the_grace_time() {
     let mut directory = Directory::new();
-    directory.regain_store(at(0));
+    directory.mark_store_available(at(0));
     directory.list_endpoints(at(0), vec![entry("a"), entry("b")]);
-    directory.lose_store(at(0));
-    directory.regain_store(at(20_000));
+    directory.mark_store_lost(at(0));
+    directory.mark_store_available(at(20_000));
     let changes = directory.list_endpoints(at(20_010), vec![entry("b")]);
     assert_eq!(changes, [EndpointChange::Lapsed("a".into())]);
     assert!(directory.expire(at(21_900)).is_empty());
@@ -54,10 +54,10 @@
     // Seen in scale-2 --seed 996663508902 of tessel-counter: the store was back at 13.5 s and the
     // entry removed at 13.94 s, but the endpoint was still used at 16.2 s.
     let mut directory = Directory::new();
-    directory.regain_store(at(0));
+    directory.mark_store_available(at(0));
     directory.list_endpoints(at(0), vec![entry("a")]);
-    directory.lose_store(at(0));
-    directory.regain_store(at(13_500));
+    directory.mark_store_lost(at(0));
+    directory.mark_store_available(at(13_500));
     directory.list_endpoints(at(13_510), vec![entry("a")]);
     directory.remove_endpoint(at(13_940), &"a".into());
     // The platform's bound is 2 s, and endpoints are expired every 0.5 s.
@@ -70,10 +70,10 @@
 #[test]
 fn a_lapsed_entry_that_is_listed_again_is_kept() {
     let mut directory = Directory::new();
-    directory.regain_store(at(0));
+    directory.mark_store_available(at(0));
     directory.list_endpoints(at(0), vec![entry("a")]);
-    directory.lose_store(at(0));
-    directory.regain_store(at(20_000));
+    directory.mark_store_lost(at(0));
+    directory.mark_store_available(at(20_000));
     directory.list_endpoints(at(20_010), Vec::new());
     assert!(directory.put_endpoint(entry("a")).is_some());
     assert!(directory.expire(at(30_000)).is_empty());
@@ -82,12 +82,12 @@
 #[test]
 fn a_leaving_endpoint_does_not_lapse() {
     let mut directory = Directory::new();
-    directory.regain_store(at(0));
+    directory.mark_store_available(at(0));
     let mut leaving = entry("a");
     leaving.leaving = true;
     directory.list_endpoints(at(0), vec![leaving]);
-    directory.lose_store(at(0));
-    directory.regain_store(at(20_000));
+    directory.mark_store_lost(at(0));
+    directory.mark_store_available(at(20_000));
     let changes = directory.list_endpoints(at(20_010), Vec::new());
     assert_eq!(changes, [EndpointChange::Removed("a".into())]);
 }
@@ -96,7 +96,7 @@
 fn an_entry_of_an_earlier_start_is_ignored() {
     let mut directory = Directory::new();
     let mut newer = entry("a");
-    newer.born = 2;
+    newer.started_at = 2;
     directory.put_endpoint(newer);
     assert_eq!(directory.put_endpoint(entry("a")), None);
 }
@@ -106,14 +106,14 @@
     // Seen in trouble-1 --seed 816576343229 of tessel-counter-grown: instances that adopted a
     // peer's view during the endpoint's grace time there never removed it.
     let mut peer = Directory::new();
-    peer.regain_store(at(0));
+    peer.mark_store_available(at(0));
     peer.list_endpoints(at(0), vec![entry("a"), entry("b")]);
-    peer.lose_store(at(0));
-    peer.regain_store(at(20_000));
+    peer.mark_store_lost(at(0));
+    peer.mark_store_available(at(20_000));
     peer.remove_endpoint(at(20_100), &"a".into());
     peer.mark_endpoints(9);
     let mut directory = Directory::new();
-    directory.adopt(at(5_000), peer.beliefs(at(20_200)));
+    directory.adopt(at(5_000), peer.snapshot(at(20_200)));
     assert!(directory.expire(at(5_900)).is_empty());
     assert_eq!(
         directory.expire(at(6_200)),
@@ -127,22 +127,22 @@
     // An instance without the store for 8 s adopted its peers' view, then resumed its old watch and
     // replayed the changes of those 8 s over that view.
     let mut directory = Directory::new();
-    directory.regain_store(at(0));
+    directory.mark_store_available(at(0));
     directory.list_endpoints(at(0), vec![entry("a")]);
     let before = directory.adoptions();
-    directory.lose_store(at(0));
-    directory.adopt(at(1_000), Directory::new().beliefs(at(1_000)));
+    directory.mark_store_lost(at(0));
+    directory.adopt(at(1_000), Directory::new().snapshot(at(1_000)));
     assert_ne!(directory.adoptions(), before);
 }
 
 #[test]
 fn an_entry_removed_while_only_this_instance_lost_the_store_expires_at_once() {
     let mut directory = Directory::new();
-    directory.regain_store(at(0));
+    directory.mark_store_available(at(0));
     directory.list_endpoints(at(0), vec![entry("a")]);
-    directory.lose_store(at(0));
+    directory.mark_store_lost(at(0));
     // A peer reached the store all the time.
-    directory.regain_store(at(20_000).before(std::time::Duration::from_secs(9)));
+    directory.mark_store_available(at(20_000).before(std::time::Duration::from_secs(9)));
     let changes = directory.list_endpoints(at(20_010), Vec::new());
     assert_eq!(changes, [EndpointChange::Removed("a".into())]);
 }
@@ -154,7 +154,7 @@
 fn newer_endpoints_do_not_hide_an_evacuation() {
     let watching = |evacuated: &[&str]| {
         let mut directory = Directory::new();
-        directory.regain_store(at(0));
+        directory.mark_store_available(at(0));
         directory.list_endpoints(at(0), vec![entry("a")]);
         directory.set_evacuated(BTreeSet::new());
         directory.mark_evacuations(319);
@@ -165,12 +165,12 @@
     };
     let (late, informed) = (watching(&[]), watching(&["south"]));
     let mut other = Directory::new();
-    other.adopt(at(10), late.beliefs(at(10)));
-    assert!(informed.marks().are_newer(other.marks()));
-    other.adopt(at(20), informed.beliefs(at(20)));
+    other.adopt(at(10), late.snapshot(at(10)));
+    assert!(informed.versions().are_newer(other.versions()));
+    other.adopt(at(20), informed.snapshot(at(20)));
     assert!(other.is_evacuated(&"south".into()));
     // The late instance has nothing newer.
-    assert!(!late.marks().are_newer(other.marks()));
-    other.adopt(at(30), late.beliefs(at(30)));
+    assert!(!late.versions().are_newer(other.versions()));
+    other.adopt(at(30), late.snapshot(at(30)));
     assert!(other.is_evacuated(&"south".into()));
 }
--- a/cornelstand/src/gateway/tests/peers.rs
+++ b/cornelstand/src/gateway/tests/peers.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use crate::gateway::admission::Demand;
-use crate::gateway::directory::Marks;
+use crate::gateway::directory::ViewVersions;
 use crate::gateway::peers::{Heartbeat, PeerLoad, Peers, Updates};
 use crate::gateway::tests::{gate, settings};
 use crate::moment::Moment;
@@ -33,7 +33,7 @@
         number,
         store_time: Some(Duration::from_secs(9)),
         store_lost: false,
-        marks: Marks::default(),
+        versions: ViewVersions::default(),
         beliefs: address(),
         version: number,
         stopping: false,
--- a/cornelstand/src/gateway/tests/placement.rs
+++ b/cornelstand/src/gateway/tests/placement.rs
@@ -252,7 +252,7 @@
     let mut endpoints = engines(1);
     let place = take(&mut endpoints, at(0), &prompt(7, 6_000));
     let mut again = entry("e0", MODELS);
-    again.born = 2;
+    again.started_at = 2;
     endpoints.put(at(10), Rc::new(again));
     assert_eq!(endpoints.own_loads().count(), 0);
     endpoints.end(at(20), &place, PlaceEnd::Good);
--- a/cornelstand/src/platform/objects.rs
+++ b/cornelstand/src/platform/objects.rs
@@ -240,7 +240,7 @@
     let spec = EndpointSpec::deserialize(&object.spec)?;
     Ok(EndpointRecord {
         name: EndpointName::from(object.metadata.name.as_str()),
-        born: spec.born,
+        started_at: spec.born,
         service: ServiceName::from(spec.service.as_str()),
         centre: CentreName::from(spec.zone.as_str()),
         address: spec.address,
--- a/cornelstand/src/platform/tests/crashes.rs
+++ b/cornelstand/src/platform/tests/crashes.rs
@@ -163,7 +163,7 @@
             tokio::task::spawn_local(async move { fetch(front, &request("/book/1", "a1")).await });
         sleep(Duration::from_millis(50)).await;
         let mut again = record(name, ORDERS, address);
-        again.born = born;
+        again.started_at = born;
         list(&gate, vec![again]);
         assert_eq!(status(&asked.await.expect("a caller")), "502");
         let crashes = gate
--- a/cornelstand/src/platform/tests/notices.rs
+++ b/cornelstand/src/platform/tests/notices.rs
@@ -33,7 +33,7 @@
 
 fn pair(near: &Endpoint, far: &Endpoint, born: u64) -> Vec<EndpointRecord> {
     let mut first = record("o-1", ORDERS, near.address);
-    first.born = born;
+    first.started_at = born;
     let mut second = record("o-2", ORDERS, far.address);
     second.centre = "south".into();
     vec![first, second]
