--- a/cornelstand/src/gateway/acquire.rs
+++ b/cornelstand/src/gateway/acquire.rs
@@ -7,7 +7,7 @@
 use crate::gateway::admission::Waiting;
 use crate::gateway::call::{CRASH_REASON, Call, Refused};
 use crate::gateway::gate::Gate;
-use crate::gateway::outlet::Outlet;
+use crate::gateway::outlet::ResponseWriter;
 use crate::gateway::placement::{Place, PlaceEnd};
 use crate::moment::Moment;
 
@@ -25,7 +25,7 @@
 }
 
 /// Waits until the request gets a place, is refused, or its caller disconnects.
-pub(crate) async fn acquire(gate: &Gate, call: &mut Call, outlet: &mut Outlet) -> Acquired {
+pub(crate) async fn acquire(gate: &Gate, call: &mut Call, writer: &mut ResponseWriter) -> Acquired {
     if let Some(retry_after) = gate.refusal_left(call.fingerprint) {
         return refuse_place(call, CRASH_REASON, retry_after);
     }
@@ -61,7 +61,7 @@
     let acquired = tokio::select! {
         biased;
         place = &mut ticket.grant => place.ok(),
-        () = outlet.gone() => {
+        () = writer.gone() => {
             gate.withdraw(ticket.id);
             // Releases a place that was granted concurrently.
             if let Ok(place) = ticket.grant.try_recv() {
--- a/cornelstand/src/gateway/admin.rs
+++ b/cornelstand/src/gateway/admin.rs
@@ -39,7 +39,7 @@
     let mut input = BytesMut::new();
     let mut until = Instant::now() + IDLE_TIMEOUT;
     loop {
-        let head = match Head::request(&mut input, MAX_HEAD_BYTES) {
+        let head = match Head::parse_request(&mut input, MAX_HEAD_BYTES) {
             Ok(Some(head)) => head,
             Ok(None) => match timeout_at(until, read_into(&stream, &mut input)).await {
                 Ok(Ok(count)) if count > 0 => continue,
--- a/cornelstand/src/gateway/admission.rs
+++ b/cornelstand/src/gateway/admission.rs
@@ -14,7 +14,7 @@
 
 use crate::gateway::catalog::GatewayRoute;
 use crate::gateway::endpoint_state::Prompt;
-use crate::gateway::number::short;
+use crate::gateway::number::to_f32;
 use crate::moment::Moment;
 use crate::name::{AccountName, ServiceName};
 
@@ -255,8 +255,8 @@
             *accounts.entry(&w.account).or_default() += w.cost();
         }
         let demand = |(account, tokens): (&AccountName, f64)| Demand {
-            attained_service: short(self.attained_service(now, account)),
-            tokens: short(tokens),
+            attained_service: to_f32(self.attained_service(now, account)),
+            tokens: to_f32(tokens),
         };
         let demands = tokens.into_iter().map(|(service, accounts)| {
             let demands = accounts.into_iter().map(demand);
--- a/cornelstand/src/gateway/budget.rs
+++ b/cornelstand/src/gateway/budget.rs
@@ -7,7 +7,7 @@
 use std::collections::{HashMap, VecDeque};
 use std::time::Duration;
 
-use crate::gateway::number::{float, whole};
+use crate::gateway::number::{to_f64, to_u64};
 use crate::moment::Moment;
 use crate::name::ServiceName;
 
@@ -32,11 +32,11 @@
 
 /// Retry quotas of one instance by service.
 #[derive(Debug, Default)]
-pub(crate) struct RetryShare {
+pub(crate) struct RetryQuota {
     services: HashMap<ServiceName, RetryWindow>,
 }
 
-impl RetryShare {
+impl RetryQuota {
     /// Counts an original request.
     pub(crate) fn count(&mut self, now: Moment, service: &ServiceName, rule: &RetryRule) {
         let entry = match self.services.get_mut(service) {
@@ -58,9 +58,9 @@
         let entry = self.services.entry(service.clone()).or_default();
         evict_expired(&mut entry.retries, now, rule.window);
         evict_expired(&mut entry.requests, now, rule.window);
-        let slack = rule.slack / float(instances.max(1));
-        let allowed = ALLOTTED_FRACTION * (rule.ratio * float(entry.requests.len()) + slack);
-        let has_room = float(entry.retries.len() + 1) <= allowed;
+        let slack = rule.slack / to_f64(instances.max(1));
+        let allowed = ALLOTTED_FRACTION * (rule.ratio * to_f64(entry.requests.len()) + slack);
+        let has_room = to_f64(entry.retries.len() + 1) <= allowed;
         if has_room {
             entry.retries.push_back(now);
         }
@@ -78,8 +78,8 @@
 
 /// Requests per second that the instance of `rank` among `instances` may send to a cold endpoint
 /// under the fleet-wide `limit`.
-pub(crate) fn cold_share(limit: f64, instances: usize, rank: usize) -> u32 {
-    let allotted = usize::try_from(whole(limit * ALLOTTED_FRACTION)).unwrap_or(usize::MAX);
+pub(crate) fn cold_quota(limit: f64, instances: usize, rank: usize) -> u32 {
+    let allotted = usize::try_from(to_u64(limit * ALLOTTED_FRACTION)).unwrap_or(usize::MAX);
     let instances = instances.max(1);
     let extra = usize::from(rank < allotted % instances);
     u32::try_from(allotted / instances + extra).unwrap_or(u32::MAX)
--- a/cornelstand/src/gateway/call.rs
+++ b/cornelstand/src/gateway/call.rs
@@ -14,7 +14,7 @@
 use crate::gateway::endpoint_state::Prompt;
 use crate::gateway::gate::{Gate, RefusedWork};
 use crate::gateway::message::Head;
-use crate::gateway::outlet::Outlet;
+use crate::gateway::outlet::ResponseWriter;
 use crate::gateway::pauses::boot_time;
 use crate::gateway::placement::{EndpointIndex, Place, PlaceEnd};
 use crate::gateway::relay::{self, Attempt, BufferedResponse, NotRun};
@@ -127,7 +127,7 @@
     gate: &Rc<Gate>,
     head: Head,
     body: Bytes,
-    outlet: &mut Outlet,
+    writer: &mut ResponseWriter,
     arrived: Instant,
 ) {
     gate.metrics.requests.inc();
@@ -135,19 +135,19 @@
         Ok(fields) => fields,
         Err(reason) => {
             let refused = Refused::new(400, reason, None);
-            return send_own_response(gate, outlet, &Bytes::new(), &refused).await;
+            return send_own_response(gate, writer, &Bytes::new(), &refused).await;
         }
     };
     let request_id = fields.request_id.clone();
     match open(gate, head, body, fields, arrived) {
-        Ok(mut call) => process(gate, &mut call, outlet).await,
+        Ok(mut call) => process(gate, &mut call, writer).await,
         Err(refused) => {
             tracing::info!(
                 event = "refused", request = %String::from_utf8_lossy(&request_id),
                 status = refused.status, reason = refused.reason,
                 version = gate.state.borrow().directory.catalog().version,
             );
-            send_own_response(gate, outlet, &request_id, &refused).await;
+            send_own_response(gate, writer, &request_id, &refused).await;
         }
     }
 }
@@ -188,7 +188,7 @@
             retry_after,
         ));
     }
-    if let Some(retry_after) = gate.pauses.catches_up(boot_time()) {
+    if let Some(retry_after) = gate.pauses.catch_up_left(boot_time()) {
         return Err(Refused::new(
             503,
             "this instance was paused",
@@ -278,7 +278,7 @@
     Respond(Refused),
 }
 
-async fn process(gate: &Rc<Gate>, call: &mut Call, outlet: &mut Outlet) {
+async fn process(gate: &Rc<Gate>, call: &mut Call, writer: &mut ResponseWriter) {
     let rule = gate.settings.borrow().retry;
     {
         let mut state = gate.state.borrow_mut();
@@ -293,8 +293,8 @@
     }
     gate.active.set(gate.active.get() + 1);
     let outcome = loop {
-        let next = match acquire(gate, call, outlet).await {
-            Acquired::Place(place) => run_attempt(gate, call, outlet, place).await,
+        let next = match acquire(gate, call, writer).await {
+            Acquired::Place(place) => run_attempt(gate, call, writer, place).await,
             Acquired::Refused(refused) => Next::Respond(refused),
             Acquired::CallerGone => Next::Finish(caller_gone()),
         };
@@ -302,30 +302,35 @@
             Next::Retry => {}
             Next::Finish(outcome) => break outcome,
             Next::Respond(refused) if call.has_begun => break truncated(refused.reason),
-            Next::Respond(refused) => break give_up(gate, call, outlet, refused).await,
+            Next::Respond(refused) => break give_up(gate, call, writer, refused).await,
         }
     };
     gate.active.set(gate.active.get() - 1);
     // Without a complete response, the connection cannot be reused.
     if outcome.status == 0 {
-        outlet.keep = false;
+        writer.keep_alive = false;
     }
     record_outcome(gate, call, outcome);
 }
 
 /// Sends the final response when no attempt is left: the error response of an endpoint if there is
 /// one, else the gateway's own.
-async fn give_up(gate: &Gate, call: &mut Call, outlet: &mut Outlet, refused: Refused) -> Outcome {
+async fn give_up(
+    gate: &Gate,
+    call: &mut Call,
+    writer: &mut ResponseWriter,
+    refused: Refused,
+) -> Outcome {
     if let Some(response) = call.failure.take() {
         let status = response.head.status();
-        let sent = relay::deliver(call, outlet, response).await;
+        let sent = relay::deliver(call, writer, response).await;
         return sent.map_or(caller_gone(), |_| Outcome {
             name: "failed",
             status,
             reason: "the endpoint failed",
         });
     }
-    send_own_response(gate, outlet, &call.request_id, &refused).await;
+    send_own_response(gate, writer, &call.request_id, &refused).await;
     let Refused { status, reason, .. } = refused;
     let name = if status == 503 { "refused" } else { "failed" };
     Outcome {
@@ -373,7 +378,7 @@
 async fn run_attempt(
     gate: &Rc<Gate>,
     call: &mut Call,
-    outlet: &mut Outlet,
+    writer: &mut ResponseWriter,
     mut place: Place,
 ) -> Next {
     let before = call.sends;
@@ -385,7 +390,7 @@
         call.tried.push(place.index);
         return Next::Retry;
     };
-    let attempt = relay::attempt(gate, call, outlet, &mut place, &endpoint).await;
+    let attempt = relay::attempt(gate, call, writer, &mut place, &endpoint).await;
     let is_sent = call.sends > before;
     gate.end(&place, place_end(&attempt));
     if !attempt.is_delivered() {
@@ -525,16 +530,16 @@
 /// Sends a response generated by the gateway.
 pub(crate) async fn send_own_response(
     gate: &Gate,
-    outlet: &mut Outlet,
+    writer: &mut ResponseWriter,
     request_id: &Bytes,
     refused: &Refused,
 ) {
     if gate.stopping.get() {
-        outlet.keep = false;
+        writer.keep_alive = false;
     }
     let mut out = BytesMut::new();
-    write_own_response(&mut out, request_id, refused, outlet.connection_header());
-    if outlet.send(&out).await.is_err() {
+    write_own_response(&mut out, request_id, refused, writer.connection_header());
+    if writer.send(&out).await.is_err() {
         tracing::debug!(event = "answer_not_taken", status = refused.status);
     }
 }
--- a/cornelstand/src/gateway/connection.rs
+++ b/cornelstand/src/gateway/connection.rs
@@ -11,8 +11,8 @@
 use crate::gateway::catalog::RequestLimits;
 use crate::gateway::gate::Gate;
 use crate::gateway::message::{Head, MessageError};
-use crate::gateway::number::{float, gauge};
-use crate::gateway::outlet::Outlet;
+use crate::gateway::number::{gauge, to_f64};
+use crate::gateway::outlet::ResponseWriter;
 use crate::gateway::upstream::{read_into, set_socket_options};
 use crate::platform::headers::read_call;
 
@@ -67,7 +67,7 @@
 
 /// Whether connections are closed after their response to free descriptors.
 fn is_crowded(gate: &Gate) -> bool {
-    float(gate.connections.get()) >= float(max_connections(gate)) * CROWDED_SHARE
+    to_f64(gate.connections.get()) >= to_f64(max_connections(gate)) * CROWDED_SHARE
 }
 
 /// Reason why no request was read.
@@ -87,14 +87,14 @@
 
 async fn serve(gate: &Rc<Gate>, stream: TcpStream) {
     set_socket_options(&stream);
-    let mut outlet = Outlet::new(stream);
-    while outlet.keep {
+    let mut writer = ResponseWriter::new(stream);
+    while writer.keep_alive {
         let limits = gate.state.borrow().directory.catalog().limits;
-        let refusal = match read_request(&mut outlet, &limits).await {
+        let refusal = match read_request(&mut writer, &limits).await {
             Ok((head, body, arrived)) => {
-                outlet.is_old = head.is_old();
-                outlet.keep = head.keeps_alive() && !gate.stopping.get() && !is_crowded(gate);
-                call::serve(gate, head, body, &mut outlet, arrived).await;
+                writer.lacks_chunking = head.is_http_1_0();
+                writer.keep_alive = head.keeps_alive() && !gate.stopping.get() && !is_crowded(gate);
+                call::serve(gate, head, body, &mut writer, arrived).await;
                 continue;
             }
             Err(ReadFailure::Closed) => return,
@@ -109,21 +109,21 @@
         };
         let (status, reason) = refusal;
         tracing::info!(event = "request_unreadable", status, reason);
-        outlet.keep = false;
+        writer.keep_alive = false;
         let refused = Refused::new(status, reason, None);
-        call::send_own_response(gate, &mut outlet, &Bytes::new(), &refused).await;
-        drain(&mut outlet).await;
+        call::send_own_response(gate, &mut writer, &Bytes::new(), &refused).await;
+        drain(&mut writer).await;
     }
 }
 
 /// Discards input for a short time: closing a socket with unread bytes resets the connection, and
 /// the caller may lose the response.
-async fn drain(outlet: &mut Outlet) {
+async fn drain(writer: &mut ResponseWriter) {
     let until = Instant::now() + DRAIN_TIMEOUT;
     let mut left = 64;
     while left > 0 {
-        outlet.input.clear();
-        let read = read_into(&outlet.stream, &mut outlet.input);
+        writer.input.clear();
+        let read = read_into(&writer.stream, &mut writer.input);
         match timeout_at(until, read).await {
             Ok(Ok(count)) if count > 0 => left -= 1,
             _ => return,
@@ -133,21 +133,21 @@
 
 /// Reads a request. Also returns the time at which its first byte arrived.
 async fn read_request(
-    outlet: &mut Outlet,
+    writer: &mut ResponseWriter,
     limits: &RequestLimits,
 ) -> Result<(Head, Bytes, Instant), ReadFailure> {
-    if outlet.input.is_empty() {
+    if writer.input.is_empty() {
         let until = Instant::now() + limits.idle_time;
-        read_more(outlet, until)
+        read_more(writer, until)
             .await
             .map_err(|_| ReadFailure::Closed)?;
     }
     let arrived = Instant::now();
     let until = arrived + limits.head_time;
     let head = loop {
-        match Head::request(&mut outlet.input, limits.head_bytes)? {
+        match Head::parse_request(&mut writer.input, limits.head_bytes)? {
             Some(head) => break head,
-            None => read_more(outlet, until).await?,
+            None => read_more(writer, until).await?,
         }
     };
     let mut reader = head.request_body()?;
@@ -156,13 +156,13 @@
         return Err(MessageError::BodyTooLarge.into());
     }
     if head.has_token("expect", "100-continue") && !reader.is_done() {
-        let sent = outlet.send(b"HTTP/1.1 100 Continue\r\n\r\n").await;
+        let sent = writer.send(b"HTTP/1.1 100 Continue\r\n\r\n").await;
         sent.map_err(|_| ReadFailure::Closed)?;
     }
     let mut body = BytesMut::new();
     let mut body_deadline = None;
     loop {
-        reader.read(&mut outlet.input, &mut body)?;
+        reader.read(&mut writer.input, &mut body)?;
         if body.len() > limits.body_bytes {
             return Err(MessageError::BodyTooLarge.into());
         }
@@ -171,7 +171,7 @@
         }
         let body_deadline = *body_deadline.get_or_insert_with(|| arrived + body_timeout(&head));
         let until = Instant::now() + limits.idle_time;
-        read_more(outlet, until.min(body_deadline)).await?;
+        read_more(writer, until.min(body_deadline)).await?;
     }
 }
 
@@ -181,12 +181,12 @@
     timeout.unwrap_or(BODY_TIMEOUT)
 }
 
-async fn read_more(outlet: &mut Outlet, until: Instant) -> Result<(), ReadFailure> {
+async fn read_more(writer: &mut ResponseWriter, until: Instant) -> Result<(), ReadFailure> {
     // `timeout_at` polls the read first, so a read that is always ready would never time out.
     if Instant::now() >= until {
         return Err(ReadFailure::TimedOut);
     }
-    let read = read_into(&outlet.stream, &mut outlet.input);
+    let read = read_into(&writer.stream, &mut writer.input);
     match timeout_at(until, read).await {
         Ok(Ok(0) | Err(_)) => Err(ReadFailure::Closed),
         Ok(Ok(_)) => Ok(()),
--- a/cornelstand/src/gateway/daemon.rs
+++ b/cornelstand/src/gateway/daemon.rs
@@ -16,7 +16,7 @@
 use crate::gateway::gate::{Gate, RefusedWork};
 use crate::gateway::logs::LogBuffer;
 use crate::gateway::metrics::GatewayMetrics;
-use crate::gateway::number::float;
+use crate::gateway::number::to_f64;
 use crate::gateway::pauses::boot_time;
 use crate::gateway::settings::peer_address;
 use crate::gateway::{connection, peers_link};
@@ -219,7 +219,7 @@
             .set(gate.lag.get() + LAG_WEIGHT * (lag * 1e3 - gate.lag.get()));
         let requests = gate.metrics.requests.get();
         let count = usize::try_from(requests - before).unwrap_or(usize::MAX);
-        let rate = float(count) / (TICK_PERIOD.as_secs_f64() + lag);
+        let rate = to_f64(count) / (TICK_PERIOD.as_secs_f64() + lag);
         gate.activity
             .set(gate.activity.get() + RATE_WEIGHT * (rate - gate.activity.get()));
         before = requests;
--- a/cornelstand/src/gateway/endpoint_state.rs
+++ b/cornelstand/src/gateway/endpoint_state.rs
@@ -211,15 +211,15 @@
     }
 
     /// Whether the cold limit allows one more request from this instance.
-    pub(crate) fn allows_send(&self, now: Moment, cold_share: Option<u32>) -> bool {
-        let Some(share) = cold_share.filter(|_| self.is_cold(now)) else {
+    pub(crate) fn allows_send(&self, now: Moment, cold_quota: Option<u32>) -> bool {
+        let Some(quota) = cold_quota.filter(|_| self.is_cold(now)) else {
             return true;
         };
         let recent = self.cold_sends.iter();
         let recent = recent
             .filter(|s| now.since(**s) < COLD_LIMIT_WINDOW)
             .count();
-        recent < share as usize
+        recent < quota as usize
     }
 
     /// Shared prefix tokens of `prompt` that are not known to be cached here.
--- a/cornelstand/src/gateway/gate.rs
+++ b/cornelstand/src/gateway/gate.rs
@@ -8,13 +8,13 @@
 use tokio::sync::{Notify, oneshot};
 
 use crate::gateway::admission::{Admission, WaitId, Waiting};
-use crate::gateway::budget::{RetryShare, cold_share};
+use crate::gateway::budget::{RetryQuota, cold_quota};
 use crate::gateway::catalog::GatewayService;
 use crate::gateway::containment::Source;
 use crate::gateway::directory::{Directory, EndpointChange, EndpointRecord};
 use crate::gateway::metrics::GatewayMetrics;
 use crate::gateway::notices::Notice;
-use crate::gateway::number::{float, gauge, short};
+use crate::gateway::number::{gauge, to_f32, to_f64};
 use crate::gateway::outputs::Outputs;
 use crate::gateway::pauses::PauseWatch;
 use crate::gateway::peers::{Digest, Heartbeat, PeerLoad, Peers, Updates};
@@ -44,7 +44,7 @@
     pub(crate) directory: Directory,
     pub(crate) endpoints: Endpoints,
     pub(crate) admission: Admission,
-    pub(crate) retries: RetryShare,
+    pub(crate) retries: RetryQuota,
     pub(crate) peers: Peers,
     pub(crate) suspects: Suspects,
     pub(crate) suspicion_updates: SuspicionUpdates,
@@ -137,7 +137,7 @@
                 directory: Directory::new(),
                 endpoints: Endpoints::default(),
                 admission: Admission::default(),
-                retries: RetryShare::default(),
+                retries: RetryQuota::default(),
                 peers: Peers::default(),
                 suspects: Suspects::default(),
                 suspicion_updates: SuspicionUpdates::default(),
@@ -304,8 +304,8 @@
         Some(PlacementRules {
             memory: spec.engine.as_ref().map(|e| e.memory),
             objective: catalog.objective(service),
-            cold_share: (spec.cold_rate > 0.0)
-                .then(|| cold_share(limit, state.peers.count(), rank)),
+            cold_quota: (spec.cold_rate > 0.0)
+                .then(|| cold_quota(limit, state.peers.count(), rank)),
             centre: settings.centre.clone(),
             cached_only: false,
             left: Duration::MAX,
@@ -391,7 +391,7 @@
             }
             let summary = state.endpoints.summary(now, service);
             let rate = f64::from(summary.usable) * 1e3 / summary.pace.max(1e-3);
-            let instances = float(state.peers.count());
+            let instances = to_f64(state.peers.count());
             state.admission.set_capacity(service, rate, instances);
             tracing::info!(
                 event = "load", %service, endpoints = summary.usable, running = summary.running,
@@ -538,7 +538,7 @@
             instance: settings.instance.clone(),
             centre: settings.centre.clone(),
             cores: settings.cores,
-            activity: short(self.activity.get()),
+            activity: to_f32(self.activity.get()),
             incarnation: self.incarnation,
             number: state.heartbeat_count,
             store_time: state.directory.store_time(now),
@@ -549,13 +549,13 @@
             stopping: self.stopping.get(),
             loads: loads.collect(),
             attained_service: attained_service
-                .map(|(name, sum)| (name.clone(), short(sum)))
+                .map(|(name, sum)| (name.clone(), to_f32(sum)))
                 .collect(),
             demands: demands.into_iter().collect(),
             token_times: state
                 .outputs
                 .own_times()
-                .map(|(s, time)| (s.clone(), short(time)))
+                .map(|(s, time)| (s.clone(), to_f32(time)))
                 .collect(),
             updates: Updates {
                 suspicions,
--- a/cornelstand/src/gateway/message.rs
+++ b/cornelstand/src/gateway/message.rs
@@ -59,7 +59,7 @@
 
 impl Head {
     /// Splits a request head off `buffer` once it is complete.
-    pub(crate) fn request(
+    pub(crate) fn parse_request(
         buffer: &mut BytesMut,
         limit: usize,
     ) -> Result<Option<Self>, MessageError> {
@@ -83,7 +83,7 @@
     }
 
     /// Splits a response head off `buffer` once it is complete.
-    pub(crate) fn answer(
+    pub(crate) fn parse_response(
         buffer: &mut BytesMut,
         limit: usize,
     ) -> Result<Option<Self>, MessageError> {
@@ -143,7 +143,7 @@
     }
 
     /// Whether the sender speaks HTTP/1.0, which has no chunked coding.
-    pub(crate) fn is_old(&self) -> bool {
+    pub(crate) fn is_http_1_0(&self) -> bool {
         self.minor == 0
     }
 
@@ -179,7 +179,7 @@
 
     /// Whether the sender keeps the connection open after this message.
     pub(crate) fn keeps_alive(&self) -> bool {
-        if self.is_old() {
+        if self.is_http_1_0() {
             return self.has_token("connection", "keep-alive");
         }
         !self.has_token("connection", "close")
@@ -211,7 +211,7 @@
         }
         match (coding, length) {
             (None, None) => Ok(None),
-            (Some(coding), None) if !self.is_old() => {
+            (Some(coding), None) if !self.is_http_1_0() => {
                 let is_chunked = coding.trim_ascii().eq_ignore_ascii_case(b"chunked");
                 let framing = is_chunked.then_some(Framing::Chunked(ChunkState::Size));
                 framing.map(Some).ok_or(MessageError::BadFraming)
--- a/cornelstand/src/gateway/number.rs
+++ b/cornelstand/src/gateway/number.rs
@@ -1,7 +1,7 @@
 //! Conversions of counts and estimates between number types.
 
 /// Converts a count for arithmetic.
-pub(crate) fn float(count: usize) -> f64 {
+pub(crate) fn to_f64(count: usize) -> f64 {
     // Counts of requests, instances and connections fit.
     f64::from(u32::try_from(count).unwrap_or(u32::MAX))
 }
@@ -17,7 +17,7 @@
     clippy::cast_sign_loss,
     reason = "the conversion saturates"
 )]
-pub(crate) fn whole(estimate: f64) -> u64 {
+pub(crate) fn to_u64(estimate: f64) -> u64 {
     estimate as u64
 }
 
@@ -26,6 +26,6 @@
     clippy::cast_possible_truncation,
     reason = "estimates need no more digits"
 )]
-pub(crate) fn short(estimate: f64) -> f32 {
+pub(crate) fn to_f32(estimate: f64) -> f32 {
     estimate as f32
 }
--- a/cornelstand/src/gateway/outlet.rs
+++ b/cornelstand/src/gateway/outlet.rs
@@ -20,23 +20,23 @@
 
 /// A caller's connection.
 #[derive(Debug)]
-pub(crate) struct Outlet {
+pub(crate) struct ResponseWriter {
     pub(crate) stream: TcpStream,
     /// Bytes read but not yet parsed.
     pub(crate) input: BytesMut,
     /// Whether the connection stays open after the response.
-    pub(crate) keep: bool,
+    pub(crate) keep_alive: bool,
     /// Whether the caller does not support chunked encoding.
-    pub(crate) is_old: bool,
+    pub(crate) lacks_chunking: bool,
 }
 
-impl Outlet {
+impl ResponseWriter {
     pub(crate) fn new(stream: TcpStream) -> Self {
         Self {
             stream,
             input: BytesMut::new(),
-            keep: true,
-            is_old: false,
+            keep_alive: true,
+            lacks_chunking: false,
         }
     }
 
@@ -73,13 +73,13 @@
         if let Ok(Ok(())) = sent {
             return Ok(());
         }
-        self.keep = false;
+        self.keep_alive = false;
         Err(CallerGone)
     }
 
     /// Connection header line for the response, if one is needed.
     pub(crate) fn connection_header(&self) -> &'static str {
-        match (self.keep, self.is_old) {
+        match (self.keep_alive, self.lacks_chunking) {
             (false, _) => "Connection: close\r\n",
             (true, true) => "Connection: keep-alive\r\n",
             (true, false) => "",
--- a/cornelstand/src/gateway/outputs.rs
+++ b/cornelstand/src/gateway/outputs.rs
@@ -7,7 +7,7 @@
 use std::collections::HashMap;
 use std::time::Duration;
 
-use crate::gateway::number::float;
+use crate::gateway::number::to_f64;
 use crate::name::ServiceName;
 
 /// Quantile of the response length that has to end in time.
@@ -83,7 +83,7 @@
         let Some((mean, count)) = self.peers.get(service) else {
             return own;
         };
-        let count = float(*count);
+        let count = to_f64(*count);
         (mean * count + own) / (count + 1.0)
     }
 
--- a/cornelstand/src/gateway/pauses.rs
+++ b/cornelstand/src/gateway/pauses.rs
@@ -36,7 +36,7 @@
     }
 
     /// Remaining catch-up time after a pause, including one that no tick has detected yet.
-    pub(crate) fn catches_up(&self, now: Duration) -> Option<Duration> {
+    pub(crate) fn catch_up_left(&self, now: Duration) -> Option<Duration> {
         // Before the first tick, the time between two requests does not indicate a pause.
         if self.last_run.get().is_some() {
             self.tick(now);
--- a/cornelstand/src/gateway/peers.rs
+++ b/cornelstand/src/gateway/peers.rs
@@ -15,7 +15,7 @@
 use crate::gateway::admission::{Demand, merge_demands};
 use crate::gateway::directory::{EndpointRecord, ViewVersions};
 use crate::gateway::endpoint_state::Load;
-use crate::gateway::number::{float, short, whole};
+use crate::gateway::number::{to_f32, to_f64, to_u64};
 use crate::gateway::residency::{Resident, join_residents};
 use crate::gateway::settings::GatewaySettings;
 use crate::moment::Moment;
@@ -99,9 +99,9 @@
         Self {
             endpoint,
             running: load.running,
-            waiting: short(load.waiting),
-            memory: short(load.memory),
-            token_time: short(load.token_time),
+            waiting: to_f32(load.waiting),
+            memory: to_f32(load.memory),
+            token_time: to_f32(load.token_time),
         }
     }
 }
@@ -166,7 +166,7 @@
 
 fn rank(name: &InstanceName, cores: f32) -> Rank {
     // Whole hundredths, because floats have no total order.
-    let cores = whole(f64::from(cores) * 100.0);
+    let cores = to_u64(f64::from(cores) * 100.0);
     (cores, xxhash_rust::xxh3::xxh3_64(name.as_str().as_bytes()))
 }
 
@@ -297,7 +297,7 @@
                 .collect(),
             attained_service: attained_service
                 .into_iter()
-                .map(|(a, sum)| (a, short(sum)))
+                .map(|(a, sum)| (a, to_f32(sum)))
                 .collect(),
             demands: demands
                 .into_iter()
@@ -481,7 +481,7 @@
         for (service, time) in self.live(now).flat_map(|b| &b.token_times) {
             let (mean, count) = means.entry(service.clone()).or_default();
             *count += 1;
-            *mean += (f64::from(*time) - *mean) / float(*count);
+            *mean += (f64::from(*time) - *mean) / to_f64(*count);
         }
         means
     }
--- a/cornelstand/src/gateway/peers_link.rs
+++ b/cornelstand/src/gateway/peers_link.rs
@@ -8,7 +8,7 @@
 use tokio::time::{MissedTickBehavior, interval, sleep, timeout};
 
 use crate::gateway::gate::Gate;
-use crate::gateway::number::float;
+use crate::gateway::number::to_f64;
 use crate::gateway::peers::Message;
 
 /// Heartbeat interval in a small fleet, which bounds the age of the state behind peers' decisions.
@@ -46,7 +46,7 @@
         return HEARTBEAT_PERIOD;
     }
     let own = gate.activity.get() + 1.0;
-    let all = state.peers.activity(gate.now(), &centre) + own + float(targets);
+    let all = state.peers.activity(gate.now(), &centre) + own + to_f64(targets);
     let rate = DATAGRAMS_PER_S * own / all;
     Duration::from_secs_f64(1.0 / rate).clamp(HEARTBEAT_PERIOD, HEARTBEAT_PERIOD_MAX)
 }
--- a/cornelstand/src/gateway/placement.rs
+++ b/cornelstand/src/gateway/placement.rs
@@ -102,7 +102,7 @@
     /// Shortest objective of the service's routes.
     pub(crate) objective: Duration,
     /// Requests per second that this instance may send to a cold endpoint, if there is a limit.
-    pub(crate) cold_share: Option<u32>,
+    pub(crate) cold_quota: Option<u32>,
     /// Longest time between two tokens, in milliseconds, with which long responses end in time.
     pub(crate) token_time: f64,
     /// Time left for the response.
@@ -432,7 +432,7 @@
                 Some(prompt) => engine_cost(state, prompt, uncached, rules),
                 None => plain_cost(state),
             };
-            let Some(mut cost) = cost.filter(|_| state.allows_send(now, rules.cold_share)) else {
+            let Some(mut cost) = cost.filter(|_| state.allows_send(now, rules.cold_quota)) else {
                 continue;
             };
             if state.record.centre != rules.centre {
--- a/cornelstand/src/gateway/relay.rs
+++ b/cornelstand/src/gateway/relay.rs
@@ -15,7 +15,7 @@
 use crate::gateway::directory::EndpointRecord;
 use crate::gateway::gate::Gate;
 use crate::gateway::message::{BodyReader, Head};
-use crate::gateway::outlet::{CallerGone, Outlet, write_all};
+use crate::gateway::outlet::{CallerGone, ResponseWriter, write_all};
 use crate::gateway::placement::Place;
 use crate::gateway::upstream::{Pool, ReadError, Upstream, read_into};
 use crate::platform::headers::{
@@ -111,7 +111,7 @@
 pub(crate) async fn attempt(
     gate: &Gate,
     call: &mut Call,
-    outlet: &mut Outlet,
+    writer: &mut ResponseWriter,
     place: &mut Place,
     record: &EndpointRecord,
 ) -> Attempt {
@@ -121,7 +121,7 @@
         upstream
     } else {
         let connect = Upstream::connect(address, CONNECT_TIMEOUT);
-        match with_deadline(connect, outlet, call.deadline).await {
+        match with_deadline(connect, writer, call.deadline).await {
             Ok(Ok(upstream)) => upstream,
             Ok(Err(error)) => {
                 tracing::info!(event = "endpoint_unreachable", endpoint, %address, %error);
@@ -131,7 +131,7 @@
         }
     };
     // An overloaded instance may get here long after the caller disconnected.
-    if outlet.is_gone() {
+    if writer.is_gone() {
         return Attempt::Gone;
     }
     if gate.refusal_left(call.fingerprint).is_some() {
@@ -154,7 +154,7 @@
         is_reusable: true,
         idle: None,
     };
-    let result = exchange.run(call, outlet, place, &request).await;
+    let result = exchange.run(call, writer, place, &request).await;
     let (is_reusable, idle) = (exchange.is_reusable && exchange.is_sent, exchange.idle);
     let attempt = result.unwrap_or_else(Interruption::into_attempt);
     let is_whole = attempt.is_delivered() || attempt.is_failed() || attempt.is_not_run();
@@ -178,14 +178,14 @@
 /// Runs `work` until it completes, the caller disconnects or the deadline passes.
 async fn with_deadline<T>(
     work: impl Future<Output = T>,
-    outlet: &mut Outlet,
+    writer: &mut ResponseWriter,
     deadline: Instant,
 ) -> Result<T, Interruption> {
     let either = async {
         tokio::select! {
             biased;
             result = work => Ok(result),
-            () = outlet.gone() => Err(Interruption::Gone),
+            () = writer.gone() => Err(Interruption::Gone),
         }
     };
     // `timeout_at` polls the work first, so work that is always ready would never time out.
@@ -211,14 +211,14 @@
     async fn run(
         &mut self,
         call: &mut Call,
-        outlet: &mut Outlet,
+        writer: &mut ResponseWriter,
         place: &mut Place,
         request: &[u8],
     ) -> Result<Attempt, Interruption> {
-        self.send(request, call, outlet).await?;
+        self.send(request, call, writer).await?;
         let mut skipped = 0;
         loop {
-            let head = self.read_head(call, outlet).await?;
+            let head = self.read_head(call, writer).await?;
             let answer = read_response(&head);
             self.gate.apply_notice(place, answer.notice);
             let is_foreign = answer.request_id.is_some_and(|id| id != call.request_id);
@@ -233,14 +233,14 @@
                 if skipped > MAX_FOREIGN_RESPONSES {
                     return Ok(Attempt::Lost("foreign answers"));
                 }
-                self.read_body(&mut body, call, outlet).await?;
+                self.read_body(&mut body, call, writer).await?;
                 continue;
             }
             self.idle = answer.idle;
             self.is_reusable &= head.keeps_alive() && !body.is_until_close();
             if answer.not_run {
                 let moved = head.status() == 421;
-                let _body = self.read_body(&mut body, call, outlet).await?;
+                let _body = self.read_body(&mut body, call, writer).await?;
                 let reason = if moved { NotRun::Moved } else { NotRun::Busy };
                 return Ok(Attempt::NotRun(reason));
             }
@@ -249,15 +249,15 @@
             }
             let is_good = (200..300).contains(&head.status());
             if call.route.kind.is_stream() && is_good {
-                return self.forward_events(&head, body, call, outlet, place).await;
+                return self.forward_events(&head, body, call, writer, place).await;
             }
             self.gate.begin(place);
-            let body = self.read_body(&mut body, call, outlet).await?;
+            let body = self.read_body(&mut body, call, writer).await?;
             let answer = BufferedResponse { head, body };
             if !is_good && call.may_retry() {
                 return Ok(Attempt::Failed(answer));
             }
-            return deliver(call, outlet, answer)
+            return deliver(call, writer, answer)
                 .await
                 .map_err(Interruption::from);
         }
@@ -268,7 +268,7 @@
         &mut self,
         request: &[u8],
         call: &Call,
-        outlet: &mut Outlet,
+        writer: &mut ResponseWriter,
     ) -> Result<(), Interruption> {
         let (stream, input) = (&self.upstream.stream, &mut self.upstream.input);
         let work = async {
@@ -278,16 +278,20 @@
                 read = read_into(stream, input) => read.map(|_| false),
             }
         };
-        let sent = with_deadline(work, outlet, call.deadline).await?;
+        let sent = with_deadline(work, writer, call.deadline).await?;
         // After a write error there may still be a response to read.
         self.is_sent = sent.unwrap_or(false);
         Ok(())
     }
 
-    async fn read_head(&mut self, call: &Call, outlet: &mut Outlet) -> Result<Head, Interruption> {
+    async fn read_head(
+        &mut self,
+        call: &Call,
+        writer: &mut ResponseWriter,
+    ) -> Result<Head, Interruption> {
         let until = event_deadline(call, Instant::now());
         let head = self.upstream.response_head(MAX_HEAD_BYTES);
-        match with_deadline(head, outlet, until).await {
+        match with_deadline(head, writer, until).await {
             Ok(head) => Ok(head?),
             Err(Interruption::DeadlinePassed) if until < call.deadline => Err(Interruption::Silent),
             Err(interruption) => Err(interruption),
@@ -298,10 +302,10 @@
         &mut self,
         body: &mut BodyReader,
         call: &Call,
-        outlet: &mut Outlet,
+        writer: &mut ResponseWriter,
     ) -> Result<Bytes, Interruption> {
         let read = self.upstream.read_body(body, MAX_BODY_BYTES);
-        Ok(with_deadline(read, outlet, call.deadline).await??)
+        Ok(with_deadline(read, writer, call.deadline).await??)
     }
 
     /// Forwards each event of a stream once it is complete.
@@ -310,7 +314,7 @@
         head: &Head,
         mut body: BodyReader,
         call: &mut Call,
-        outlet: &mut Outlet,
+        writer: &mut ResponseWriter,
         place: &mut Place,
     ) -> Result<Attempt, Interruption> {
         let mut pending = BytesMut::new();
@@ -343,8 +347,8 @@
                 } else {
                     self.gate.progress(place, tokens);
                 }
-                write_events(&mut out, head, &events, is_end, call, outlet);
-                outlet.send(&out).await?;
+                write_events(&mut out, head, &events, is_end, call, writer);
+                writer.send(&out).await?;
                 out.clear();
             }
             if is_end {
@@ -353,7 +357,7 @@
             if pending.len() > MAX_EVENT_BYTES {
                 return Ok(Attempt::Lost("endless event"));
             }
-            is_closed = self.read_more(&body, call, outlet, progressed).await?;
+            is_closed = self.read_more(&body, call, writer, progressed).await?;
         }
     }
 
@@ -363,11 +367,11 @@
         &mut self,
         body: &BodyReader,
         call: &Call,
-        outlet: &mut Outlet,
+        writer: &mut ResponseWriter,
         progressed: Instant,
     ) -> Result<bool, Interruption> {
         let until = event_deadline(call, progressed);
-        match with_deadline(self.upstream.read_more(), outlet, until).await {
+        match with_deadline(self.upstream.read_more(), writer, until).await {
             Ok(Ok(())) => Ok(false),
             Ok(Err(ReadError::Closed)) if body.is_until_close() => Ok(true),
             Ok(Err(error)) => Err(error.into()),
@@ -390,22 +394,22 @@
     events: &[u8],
     is_end: bool,
     call: &mut Call,
-    outlet: &mut Outlet,
+    writer: &mut ResponseWriter,
 ) {
     if !std::mem::replace(&mut call.has_begun, true) {
         call.first_byte = Some(Instant::now());
-        if outlet.is_old {
-            outlet.keep = false;
+        if writer.lacks_chunking {
+            writer.keep_alive = false;
         }
-        let framing = if outlet.is_old {
+        let framing = if writer.lacks_chunking {
             CallerFraming::UntilClose
         } else {
             CallerFraming::Chunked
         };
-        write_response_head(out, head, framing, outlet.connection_header());
+        write_response_head(out, head, framing, writer.connection_header());
     }
     call.record_last_event(events);
-    if outlet.is_old {
+    if writer.lacks_chunking {
         out.put_slice(events);
         return;
     }
@@ -423,7 +427,7 @@
 /// Sends a buffered response to the caller.
 pub(crate) async fn deliver(
     call: &mut Call,
-    outlet: &mut Outlet,
+    writer: &mut ResponseWriter,
     response: BufferedResponse,
 ) -> Result<Attempt, CallerGone> {
     let status = response.head.status();
@@ -438,11 +442,11 @@
         &mut out,
         &response.head,
         framing,
-        outlet.connection_header(),
+        writer.connection_header(),
     );
     out.put_slice(&response.body);
     call.has_begun = true;
     call.first_byte.get_or_insert_with(Instant::now);
-    outlet.send(&out).await?;
+    writer.send(&out).await?;
     Ok(Attempt::Delivered(status))
 }
--- a/cornelstand/src/gateway/tests/admission.rs
+++ b/cornelstand/src/gateway/tests/admission.rs
@@ -8,7 +8,7 @@
 };
 use crate::gateway::catalog::RouteKind;
 use crate::gateway::endpoint_state::Prompt;
-use crate::gateway::number::short;
+use crate::gateway::number::to_f32;
 use crate::gateway::tests::{MODELS, route};
 use crate::moment::Moment;
 use crate::name::{AccountName, ServiceName};
@@ -165,7 +165,7 @@
     }
     let now = at(6_500);
     let least = bob.get(now, ATTAINED_TIME_CONSTANT);
-    admission.set_peer_demands(demands(short(least), 100.0));
+    admission.set_peer_demands(demands(to_f32(least), 100.0));
     assert!(!admission.must_yield(now, &waiting(now, "ada", 3_000)));
 }
 
--- a/cornelstand/src/gateway/tests/budget.rs
+++ b/cornelstand/src/gateway/tests/budget.rs
@@ -4,7 +4,7 @@
 
 use proptest::prelude::*;
 
-use crate::gateway::budget::{RetryRule, RetryShare, cold_share};
+use crate::gateway::budget::{RetryQuota, RetryRule, cold_quota};
 use crate::moment::Moment;
 use crate::name::ServiceName;
 
@@ -21,7 +21,7 @@
 proptest! {
     #[test]
     fn cold_quotas_of_all_instances_stay_within_the_limit(limit in 0.0..200.0_f64, count in 1_usize..200) {
-        let sum: u32 = (0..count).map(|rank| cold_share(limit, count, rank)).sum();
+        let sum: u32 = (0..count).map(|rank| cold_quota(limit, count, rank)).sum();
         prop_assert!(f64::from(sum) <= limit);
     }
 
@@ -31,15 +31,15 @@
         requests in proptest::collection::vec((0_usize..40, 0_u64..10_000), 0..400),
     ) {
         let service = ServiceName::from("s");
-        let mut shares: Vec<RetryShare> = (0..count).map(|_| RetryShare::default()).collect();
+        let mut quotas: Vec<RetryQuota> = (0..count).map(|_| RetryQuota::default()).collect();
         let mut requests = requests;
         requests.sort_by_key(|r| r.1);
         let mut retries = 0;
         let total = f64::from(u32::try_from(requests.len()).expect("few"));
         for (instance, ms) in requests {
-            let share = &mut shares[instance % count];
-            share.count(at(ms), &service, &RULE);
-            while share.take(at(ms), &service, &RULE, count) {
+            let quota = &mut quotas[instance % count];
+            quota.count(at(ms), &service, &RULE);
+            while quota.take(at(ms), &service, &RULE, count) {
                 retries += 1;
             }
         }
@@ -49,16 +49,16 @@
 
 #[test]
 fn a_limit_below_the_instance_count_is_allotted_to_some_instances() {
-    let shares: Vec<u32> = (0..30).map(|rank| cold_share(20.0, 30, rank)).collect();
-    assert_eq!(shares.iter().sum::<u32>(), 16);
-    assert_eq!(shares.iter().max(), Some(&1));
+    let quotas: Vec<u32> = (0..30).map(|rank| cold_quota(20.0, 30, rank)).collect();
+    assert_eq!(quotas.iter().sum::<u32>(), 16);
+    assert_eq!(quotas.iter().max(), Some(&1));
 }
 
 #[test]
 fn retries_are_allowed_again_after_the_window() {
     let service = ServiceName::from("s");
-    let mut share = RetryShare::default();
-    while share.take(at(0), &service, &RULE, 1) {}
-    assert!(!share.take(at(9_999), &service, &RULE, 1));
-    assert!(share.take(at(10_000), &service, &RULE, 1));
+    let mut quota = RetryQuota::default();
+    while quota.take(at(0), &service, &RULE, 1) {}
+    assert!(!quota.take(at(9_999), &service, &RULE, 1));
+    assert!(quota.take(at(10_000), &service, &RULE, 1));
 }
--- a/cornelstand/src/gateway/tests/message.rs
+++ b/cornelstand/src/gateway/tests/message.rs
@@ -8,7 +8,7 @@
 const LIMIT: usize = 1_024;
 
 fn request(text: &str) -> Result<Option<Head>, MessageError> {
-    Head::request(&mut BytesMut::from(text), LIMIT)
+    Head::parse_request(&mut BytesMut::from(text), LIMIT)
 }
 
 #[rstest]
@@ -89,7 +89,7 @@
 #[test]
 fn a_body_without_length_ends_with_its_connection() {
     let mut input = BytesMut::from("HTTP/1.1 200 OK\r\nx: y\r\n\r\nabc");
-    let head = Head::answer(&mut input, LIMIT)
+    let head = Head::parse_response(&mut input, LIMIT)
         .expect("valid")
         .expect("complete");
     let mut body = head.answer_body("GET").expect("framed");
@@ -102,7 +102,7 @@
 #[test]
 fn an_answer_to_head_has_no_body() {
     let mut input = BytesMut::from("HTTP/1.1 200 OK\r\ncontent-length: 9\r\n\r\n");
-    let head = Head::answer(&mut input, LIMIT)
+    let head = Head::parse_response(&mut input, LIMIT)
         .expect("valid")
         .expect("complete");
     assert!(head.answer_body("HEAD").expect("framed").is_done());
--- a/cornelstand/src/gateway/tests/pauses.rs
+++ b/cornelstand/src/gateway/tests/pauses.rs
@@ -11,20 +11,20 @@
 #[test]
 fn a_start_or_a_late_tick_is_not_a_pause() {
     let watch = PauseWatch::default();
-    assert_eq!(watch.catches_up(at(90_000)), None);
+    assert_eq!(watch.catch_up_left(at(90_000)), None);
     assert_eq!(watch.tick(at(90_000)), None);
     assert_eq!(watch.tick(at(90_600)), None);
-    assert_eq!(watch.catches_up(at(91_500)), None);
+    assert_eq!(watch.catch_up_left(at(91_500)), None);
 }
 
 #[test]
 fn a_request_before_the_first_tick_detects_the_pause() {
     let watch = PauseWatch::default();
     watch.tick(at(1_000));
-    assert_eq!(watch.catches_up(at(4_000)), Some(CATCH_UP));
+    assert_eq!(watch.catch_up_left(at(4_000)), Some(CATCH_UP));
     assert_eq!(watch.tick(at(4_001)), None);
-    assert_eq!(watch.catches_up(at(4_100)), Some(at(200)));
-    assert_eq!(watch.catches_up(at(4_300)), None);
+    assert_eq!(watch.catch_up_left(at(4_100)), Some(at(200)));
+    assert_eq!(watch.catch_up_left(at(4_300)), None);
 }
 
 #[test]
--- a/cornelstand/src/gateway/tests/placement.rs
+++ b/cornelstand/src/gateway/tests/placement.rs
@@ -42,7 +42,7 @@
         objective: Duration::from_millis(400),
         token_time: 12.0,
         left: Duration::from_secs(12),
-        cold_share: Some(2),
+        cold_quota: Some(2),
         centre: CentreName::from("north"),
         cached_only: false,
     }
@@ -175,7 +175,7 @@
 }
 
 #[test]
-fn a_cold_endpoint_gets_no_more_than_the_share_of_this_instance() {
+fn a_cold_endpoint_gets_no_more_than_the_quota_of_this_instance() {
     let mut cold = entry("cold", MODELS);
     cold.cold = Duration::from_secs(3);
     let mut endpoints = endpoints(vec![cold]);
--- a/cornelstand/src/gateway/upstream.rs
+++ b/cornelstand/src/gateway/upstream.rs
@@ -97,7 +97,7 @@
     pub(crate) async fn response_head(&mut self, limit: usize) -> Result<Head, ReadError> {
         let mut interim = 0;
         loop {
-            match Head::answer(&mut self.input, limit)? {
+            match Head::parse_response(&mut self.input, limit)? {
                 Some(head) if head.status() < 200 => {
                     interim += 1;
                     if interim > MAX_INTERIM_RESPONSES {
--- a/cornelstand/src/platform/tests/wire.rs
+++ b/cornelstand/src/platform/tests/wire.rs
@@ -73,7 +73,7 @@
 }
 
 fn head(text: &str) -> Head {
-    let head = Head::request(&mut BytesMut::from(text), 4_096);
+    let head = Head::parse_request(&mut BytesMut::from(text), 4_096);
     head.expect("well formed").expect("complete")
 }
 
@@ -159,7 +159,7 @@
          Content-Type: text/event-stream\r\nKeep-Alive: timeout=7\r\nConnection: close\r\n\
          Transfer-Encoding: chunked\r\n\r\n",
     );
-    let head = Head::answer(&mut input, 4_096)
+    let head = Head::parse_response(&mut input, 4_096)
         .expect("valid")
         .expect("complete");
     let fields = read_response(&head);
