--- a/cornelstand/src/containment.rs
+++ b/cornelstand/src/containment.rs
@@ -65,7 +65,10 @@
     async fn begin_trial(&mut self) -> bool {
         let core = self.core.clone();
         let request = self.fingerprint;
-        if !core.suspects().want(core.clock.now(), request, &core.name) {
+        if !core
+            .suspects()
+            .request_trial(core.clock.now(), request, &core.name)
+        {
             return false;
         }
         self.trial = Some(TrialGuard {
@@ -115,14 +118,18 @@
         };
         let now = self.core.clock.now();
         self.core.metrics.crashes.inc();
-        self.core.suspects().note(now, self.fingerprint, crash);
+        self.core
+            .suspects()
+            .record_crash(now, self.fingerprint, crash);
         self.core.spread(self.fingerprint).await;
     }
 
     /// Takes in a whole answer, which may clear the request.
     pub(crate) fn note_answer(&self, status: u16) {
         let now = self.core.clock.now();
-        self.core.suspects().answer(now, self.fingerprint, status);
+        self.core
+            .suspects()
+            .record_answer(now, self.fingerprint, status);
     }
 }
 
--- a/cornelstand/src/gateway/containment.rs
+++ b/cornelstand/src/gateway/containment.rs
@@ -89,7 +89,7 @@
         let mut state = self.state.borrow_mut();
         let evidence =
             state.update_evidence(&self.metrics, now, Source::Own, request, |suspects| {
-                suspects.note(now, request, crash);
+                suspects.record_crash(now, request, crash);
             });
         tracing::info!(
             event = "endpoint_crashed", %endpoint, fingerprint = %request,
@@ -107,7 +107,7 @@
         let now = self.now();
         let mut state = self.state.borrow_mut();
         state.update_evidence(&self.metrics, now, Source::Own, request, |suspects| {
-            suspects.answer(now, request, status);
+            suspects.record_answer(now, request, status);
         });
     }
 }
--- a/cornelstand/src/gateway/daemon.rs
+++ b/cornelstand/src/gateway/daemon.rs
@@ -241,7 +241,7 @@
         let expired = state.directory.expire(now);
         state.endpoints.remove_expired(now);
         state.pool.expire();
-        state.suspects.forgive(now);
+        state.suspects.remove_expired(now);
         for peer in state.peers.newly_silent(before, now) {
             tracing::warn!(event = "peer_lost", %peer);
         }
--- a/cornelstand/src/gateway/endpoint_state.rs
+++ b/cornelstand/src/gateway/endpoint_state.rs
@@ -74,7 +74,7 @@
     /// Requests in flight.
     pub(crate) running: u32,
     /// Prompt tokens of requests whose response has not begun.
-    pub(crate) waiting: f64,
+    pub(crate) unread_tokens: f64,
     /// Memory in use, in tokens.
     pub(crate) memory: f64,
     /// Milliseconds between two tokens of a running request; zero if not yet measured.
@@ -97,7 +97,7 @@
             self.token_time = sum / (own + theirs);
         }
         self.running += other.running;
-        self.waiting += other.waiting;
+        self.unread_tokens += other.unread_tokens;
         self.memory += other.memory;
     }
 }
@@ -130,7 +130,7 @@
     pub(crate) own: Load,
     pub(crate) peers: Load,
     /// Prefill milliseconds per token, including queueing and generation steps in between.
-    pub(crate) pace: f64,
+    pub(crate) prefill_pace: f64,
     pub(crate) parts: HashMap<u64, CachedPart>,
     pub(crate) backoff_until: Moment,
     pub(crate) connect_failures: u32,
@@ -150,7 +150,7 @@
             record,
             own: Load::default(),
             peers: Load::default(),
-            pace: INITIAL_PACE_MS,
+            prefill_pace: INITIAL_PACE_MS,
             parts: HashMap::new(),
             backoff_until: Moment::default(),
             connect_failures: 0,
--- a/cornelstand/src/gateway/gate.rs
+++ b/cornelstand/src/gateway/gate.rs
@@ -390,14 +390,14 @@
                 continue;
             }
             let summary = state.endpoints.summary(now, service);
-            let rate = f64::from(summary.usable) * 1e3 / summary.pace.max(1e-3);
+            let rate = f64::from(summary.usable) * 1e3 / summary.prefill_pace.max(1e-3);
             let instances = to_f64(state.peers.count());
             state.admission.set_capacity(service, rate, instances);
             tracing::info!(
                 event = "load", %service, endpoints = summary.usable, running = summary.running,
-                prompt_tokens = summary.waiting, memory = summary.memory,
+                prompt_tokens = summary.unread_tokens, memory = summary.memory,
                 token_ms = summary.token_time, token_ms_limit = state.outputs.token_time(service),
-                pace = summary.pace, waiting = state.admission.len(),
+                pace = summary.prefill_pace, waiting = state.admission.len(),
                 level = state.admission.average_attained(),
                 peers = state.peers.live(now).count(),
             );
@@ -455,7 +455,7 @@
         let state = &mut *state;
         let outbox = &mut state.suspicion_updates.alarms;
         let suspicions = outbox.take_updates(now, &state.suspects);
-        self.metrics.untold.inc_by(outbox.take_unsent());
+        self.metrics.unsent.inc_by(outbox.take_unsent());
         suspicions
     }
 
@@ -528,7 +528,7 @@
         state.heartbeat_count += 1;
         let outbox = outbox(&mut state.suspicion_updates);
         let suspicions = outbox.take(now, &state.suspects);
-        self.metrics.untold.inc_by(outbox.take_unsent());
+        self.metrics.unsent.inc_by(outbox.take_unsent());
         let loads = state.endpoints.own_loads();
         let loads = loads.map(|(key, load)| PeerLoad::new(key, load));
         let demands = state.admission.demands(now);
--- a/cornelstand/src/gateway/metrics.rs
+++ b/cornelstand/src/gateway/metrics.rs
@@ -23,7 +23,7 @@
     /// Changes to the crash suspicions against requests, by source.
     pub(crate) suspicions: IntCounterVec,
     /// Recent suspicions that did not fit into a message.
-    pub(crate) untold: IntCounter,
+    pub(crate) unsent: IntCounter,
     pub(crate) connections: IntGauge,
     pub(crate) waiting: IntGauge,
     pub(crate) version: IntGauge,
@@ -84,7 +84,7 @@
                 "Changes of what is held against requests",
                 "source",
             )?,
-            untold: counter(
+            unsent: counter(
                 "cornelstand_suspicions_untold_total",
                 "Recent suspicions that a message had no room for",
             )?,
--- a/cornelstand/src/gateway/peers.rs
+++ b/cornelstand/src/gateway/peers.rs
@@ -99,7 +99,7 @@
         Self {
             endpoint,
             running: load.running,
-            waiting: to_f32(load.waiting),
+            waiting: to_f32(load.unread_tokens),
             memory: to_f32(load.memory),
             token_time: to_f32(load.token_time),
         }
@@ -504,7 +504,7 @@
     for load in loads {
         *sums.entry(load.endpoint).or_default() += Load {
             running: load.running,
-            waiting: f64::from(load.waiting),
+            unread_tokens: f64::from(load.waiting),
             memory: f64::from(load.memory),
             token_time: f64::from(load.token_time),
         };
--- a/cornelstand/src/gateway/placement.rs
+++ b/cornelstand/src/gateway/placement.rs
@@ -138,7 +138,7 @@
 
     /// Prompt tokens that the endpoint has to read for the request.
     pub(crate) fn prompt_tokens(&self) -> f64 {
-        self.load.waiting
+        self.load.unread_tokens
     }
 
     /// Prompt tokens to read before the response begins, as estimated at reservation.
@@ -176,10 +176,10 @@
 pub(crate) struct Summary {
     pub(crate) usable: u32,
     pub(crate) running: f64,
-    pub(crate) waiting: f64,
+    pub(crate) unread_tokens: f64,
     pub(crate) memory: f64,
     pub(crate) token_time: f64,
-    pub(crate) pace: f64,
+    pub(crate) prefill_pace: f64,
 }
 
 /// All endpoints.
@@ -226,17 +226,17 @@
             let load = state.total();
             summary.usable += 1;
             summary.running += f64::from(load.running);
-            summary.waiting += load.waiting;
+            summary.unread_tokens += load.unread_tokens;
             summary.memory += load.memory;
             summary.token_time += load.token_time;
-            summary.pace += state.pace;
+            summary.prefill_pace += state.prefill_pace;
         }
         let count = f64::from(summary.usable.max(1));
         summary.running /= count;
-        summary.waiting /= count;
+        summary.unread_tokens /= count;
         summary.memory /= count;
         summary.token_time /= count;
-        summary.pace /= count;
+        summary.prefill_pace /= count;
         summary
     }
 
@@ -463,7 +463,7 @@
         };
         let mut parts = Vec::new();
         if let Some(prompt) = prompt {
-            load.waiting = prompt.own() + state.uncached_tokens(now, prompt);
+            load.unread_tokens = prompt.own() + state.uncached_tokens(now, prompt);
             load.memory = state.memory(prompt);
             for part in prompt.shared() {
                 if state.use_part(now, *part) {
@@ -476,7 +476,7 @@
                 parts.push(part.id);
             }
         }
-        let ahead = state.total().waiting + load.waiting;
+        let ahead = state.total().unread_tokens + load.unread_tokens;
         state.own += load;
         state.last_sent = now;
         if state.is_cold(now) {
@@ -504,11 +504,11 @@
         let Some(state) = self.reserved_state(place) else {
             return;
         };
-        state.own.waiting = (state.own.waiting - place.load.waiting).max(0.0);
+        state.own.unread_tokens = (state.own.unread_tokens - place.load.unread_tokens).max(0.0);
         if place.ahead >= MIN_PACE_TOKENS {
             let measured = now.since(place.sent).as_secs_f64() * 1e3 / place.ahead;
             let measured = measured.clamp(PACE_BOUNDS_MS.0, PACE_BOUNDS_MS.1);
-            state.pace += PACE_WEIGHT * (measured - state.pace);
+            state.prefill_pace += PACE_WEIGHT * (measured - state.prefill_pace);
         }
     }
 
@@ -538,7 +538,7 @@
         }
         state.own.memory = (state.own.memory - place.load.memory).max(0.0);
         if !place.has_begun {
-            state.own.waiting = (state.own.waiting - place.load.waiting).max(0.0);
+            state.own.unread_tokens = (state.own.unread_tokens - place.load.unread_tokens).max(0.0);
         }
         for part in &place.parts {
             if let Some(cached) = state.parts.get_mut(part) {
@@ -625,7 +625,7 @@
         return true;
     }
     (!rules.cached_only || is_preferred)
-        && load.waiting * state.pace < REREAD_MAX_QUEUE_MS
+        && load.unread_tokens * state.prefill_pace < REREAD_MAX_QUEUE_MS
         && load.token_time < rules.token_time * REREAD_TOKEN_TIME_FRACTION
 }
 
@@ -647,13 +647,13 @@
     if output_time > rules.left.as_secs_f64() * 1e3 * OUTPUT_FRACTION {
         return None;
     }
-    let own = (prompt.own() + uncached) * state.pace;
-    let wait = load.waiting * state.pace;
+    let own = (prompt.own() + uncached) * state.prefill_pace;
+    let wait = load.unread_tokens * state.prefill_pace;
     let limit = (rules.objective.as_secs_f64() * 1e3 * QUEUE_FRACTION).min(MAX_QUEUE_MS);
-    if load.waiting > 0.0 && wait > limit - own.min(limit * MAX_OWN_FRACTION) {
+    if load.unread_tokens > 0.0 && wait > limit - own.min(limit * MAX_OWN_FRACTION) {
         return None;
     }
-    let reread = uncached * state.pace * (REREAD_WEIGHT - 1.0);
+    let reread = uncached * state.prefill_pace * (REREAD_WEIGHT - 1.0);
     Some(wait + own + reread + f64::from(load.running) * RUNNING_COST_MS)
 }
 
--- a/cornelstand/src/gateway/tests/containment.rs
+++ b/cornelstand/src/gateway/tests/containment.rs
@@ -307,7 +307,7 @@
     let mut updates = SuspicionUpdates::default();
     let count = 100;
     for number in 0..count {
-        suspects.note(Moment(0), Fingerprint(number), crash("e"));
+        suspects.record_crash(Moment(0), Fingerprint(number), crash("e"));
         updates
             .heartbeats
             .push(Moment(0), Fingerprint(number), number == count - 1);
--- a/cornelstand/src/gateway/tests/placement.rs
+++ b/cornelstand/src/gateway/tests/placement.rs
@@ -285,7 +285,7 @@
 fn a_busy_second_preferred_endpoint_is_not_used() {
     let mut endpoints = engines(3);
     endpoints.set_peers(|_| Load {
-        waiting: 3_000.0,
+        unread_tokens: 3_000.0,
         ..Load::default()
     });
     let prompt = prompt(7, 6_000);
--- a/cornelstand/src/suspect.rs
+++ b/cornelstand/src/suspect.rs
@@ -222,8 +222,8 @@
     }
 
     /// Records that an endpoint crashed while it ran `request`.
-    pub fn note(&mut self, now: Moment, request: Fingerprint, crash: Crash) {
-        self.forgive(now);
+    pub fn record_crash(&mut self, now: Moment, request: Fingerprint, crash: Crash) {
+        self.remove_expired(now);
         let entry = self.entry(now, request);
         entry.crashes.insert(crash);
         entry.changed = now;
@@ -231,7 +231,7 @@
 
     /// Records a complete answer to `request`. Only a success clears it, because an endpoint may
     /// fail a request without beginning to run it.
-    pub fn answer(&mut self, now: Moment, request: Fingerprint, status: u16) {
+    pub fn record_answer(&mut self, now: Moment, request: Fingerprint, status: u16) {
         if (200..300).contains(&status) {
             self.clear(now, request);
         }
@@ -249,7 +249,12 @@
     }
 
     /// Records that `instance` wants a trial, unless it has one already.
-    pub fn want(&mut self, now: Moment, request: Fingerprint, instance: &InstanceName) -> bool {
+    pub fn request_trial(
+        &mut self,
+        now: Moment,
+        request: Fingerprint,
+        instance: &InstanceName,
+    ) -> bool {
         let entry = self.entry(now, request);
         let is_recent = now.since(entry.tried) < TRIAL_TIMEOUT;
         let last = entry.trials.get(instance);
@@ -305,7 +310,7 @@
     }
 
     /// Removes expired suspicions.
-    pub fn forgive(&mut self, now: Moment) {
+    pub fn remove_expired(&mut self, now: Moment) {
         self.entries
             .retain(|_, e| now.since(e.changed) < REFUSAL_TIME);
     }
--- a/cornelstand/tests/entry/suspects.rs
+++ b/cornelstand/tests/entry/suspects.rs
@@ -30,11 +30,11 @@
 #[test]
 fn a_request_is_suspect_refused_and_forgiven() {
     let mut suspects = Suspects::default();
-    suspects.note(at(0), REQUEST, crash("a"));
+    suspects.record_crash(at(0), REQUEST, crash("a"));
     assert_eq!(suspects.check(at(1), REQUEST), Standing::Suspect);
-    suspects.note(at(1), REQUEST, crash("a"));
+    suspects.record_crash(at(1), REQUEST, crash("a"));
     assert_eq!(suspects.check(at(1), REQUEST), Standing::Suspect);
-    suspects.note(at(2), REQUEST, crash("b"));
+    suspects.record_crash(at(2), REQUEST, crash("b"));
     assert!(matches!(
         suspects.check(at(2), REQUEST),
         Standing::Refused(_)
@@ -42,14 +42,14 @@
     assert_eq!(suspects.check(at(2), Fingerprint(8)), Standing::Clear);
     let later = at(2).after(HOUR);
     assert_eq!(suspects.check(later, REQUEST), Standing::Clear);
-    suspects.forgive(later);
+    suspects.remove_expired(later);
     assert!(suspects.is_empty());
 }
 
 #[test]
 fn a_whole_answer_clears_a_request_at_peers_that_still_suspect_it() {
     let (mut one, mut other) = (Suspects::default(), Suspects::default());
-    one.note(at(0), REQUEST, crash("a"));
+    one.record_crash(at(0), REQUEST, crash("a"));
     let told = one.suspicion(at(0), REQUEST).unwrap();
     other.merge(at(0), told.clone());
     one.clear(at(1), REQUEST);
@@ -61,22 +61,22 @@
 #[test]
 fn only_a_success_clears_a_request() {
     let mut suspects = Suspects::default();
-    suspects.note(at(0), REQUEST, crash("a"));
+    suspects.record_crash(at(0), REQUEST, crash("a"));
     for status in [400, 429, 500, 502, 504] {
-        suspects.answer(at(1), REQUEST, status);
+        suspects.record_answer(at(1), REQUEST, status);
         assert_eq!(suspects.check(at(1), REQUEST), Standing::Suspect);
     }
-    suspects.answer(at(1), REQUEST, 200);
+    suspects.record_answer(at(1), REQUEST, 200);
     assert_eq!(suspects.check(at(1), REQUEST), Standing::Clear);
 }
 
 #[test]
 fn a_trial_of_a_lost_instance_does_not_block_for_ever() {
     let mut suspects = Suspects::default();
-    suspects.note(at(0), REQUEST, crash("a"));
-    assert!(suspects.want(at(0), REQUEST, &name(0)));
+    suspects.record_crash(at(0), REQUEST, crash("a"));
+    assert!(suspects.request_trial(at(0), REQUEST, &name(0)));
     suspects.set_phase(at(0), REQUEST, &name(0), TrialPhase::Running);
-    suspects.want(at(1), REQUEST, &name(1));
+    suspects.request_trial(at(1), REQUEST, &name(1));
     assert!(!suspects.may_begin(at(1), REQUEST, &name(1)));
     assert!(suspects.may_begin(at(1).after(HOUR), REQUEST, &name(1)));
 }
@@ -85,7 +85,7 @@
 fn memory_is_bounded() {
     let mut suspects = Suspects::default();
     for request in 0..10_000 {
-        suspects.note(at(request), Fingerprint(request), crash("a"));
+        suspects.record_crash(at(request), Fingerprint(request), crash("a"));
     }
     assert!(suspects.len() <= 4_096);
     assert_eq!(
@@ -140,7 +140,9 @@
         let mut instances: Vec<Instance> = Vec::new();
         instances.resize_with(INSTANCES, Instance::default);
         for instance in &mut instances {
-            instance.suspects.note(at(0), REQUEST, crash("first"));
+            instance
+                .suspects
+                .record_crash(at(0), REQUEST, crash("first"));
         }
         Self { instances, lost: 1 }
     }
@@ -150,7 +152,10 @@
             Step::Want(i) => {
                 let instance = &mut self.instances[i];
                 let suspect = instance.suspects.check(at(0), REQUEST).is_suspect();
-                if suspect && !instance.runs && instance.suspects.want(at(0), REQUEST, &name(i)) {
+                if suspect
+                    && !instance.runs
+                    && instance.suspects.request_trial(at(0), REQUEST, &name(i))
+                {
                     instance.wants = true;
                     instance.met = [false; INSTANCES];
                 }
@@ -169,7 +174,7 @@
                 let instance = &mut self.instances[i];
                 if std::mem::take(&mut instance.runs) {
                     self.lost += 1;
-                    instance.suspects.note(at(0), REQUEST, crash(&lost));
+                    instance.suspects.record_crash(at(0), REQUEST, crash(&lost));
                     let ended = TrialPhase::Ended;
                     instance.suspects.set_phase(at(0), REQUEST, &name(i), ended);
                 }
@@ -216,7 +221,7 @@
         for (part, what) in notes {
             match what {
                 0 => parts[part].clear(at(1), REQUEST),
-                n => parts[part].note(at(1), REQUEST, crash(&format!("e{n}"))),
+                n => parts[part].record_crash(at(1), REQUEST, crash(&format!("e{n}"))),
             }
         }
         let told: Vec<_> = parts
