--- a/cornelstand/src/gateway/acquire.rs
+++ b/cornelstand/src/gateway/acquire.rs
@@ -7,7 +7,7 @@
 use crate::gateway::admission::Waiting;
 use crate::gateway::call::{CRASH_REASON, Call, Refused};
 use crate::gateway::gate::Gate;
-use crate::gateway::outlet::Outlet;
+use crate::gateway::outlet::ResponseWriter;
 use crate::gateway::placement::{Place, PlaceEnd};
 use crate::moment::Moment;
 
@@ -25,8 +25,8 @@
 }
 
 /// Waits until the request gets a place, is refused, or its caller disconnects.
-pub(crate) async fn acquire(gate: &Gate, call: &mut Call, outlet: &mut Outlet) -> Acquired {
-    if let Some(retry_after) = gate.refused_for(call.fingerprint) {
+pub(crate) async fn acquire(gate: &Gate, call: &mut Call, writer: &mut ResponseWriter) -> Acquired {
+    if let Some(retry_after) = gate.refusal_left(call.fingerprint) {
         return refuse_place(call, CRASH_REASON, retry_after);
     }
     let started = Instant::now();
@@ -39,15 +39,18 @@
     let service = call.service.clone();
     let waiting = Waiting::new(now, account, service, &call.route, prompt, remaining);
     let waiting = if call.has_begun {
-        waiting.going_on()
+        waiting.resumed()
     } else {
         waiting
     };
-    if let Some(refused) = unservable(gate, call, waiting.gives_up) {
+    if let Some(refused) = unservable(gate, call, waiting.queue_deadline) {
         return refused;
     }
-    let (cost, wait_deadline) = (waiting.cost(), waiting.gives_up);
-    let until = gate.clock.instant(waiting.gives_up).min(call.deadline);
+    let (cost, wait_deadline) = (waiting.cost(), waiting.queue_deadline);
+    let until = gate
+        .clock
+        .instant(waiting.queue_deadline)
+        .min(call.deadline);
     let mut ticket = match gate.enqueue(waiting, &call.tried) {
         Ok(ticket) => ticket,
         Err(retry_after) => {
@@ -58,7 +61,7 @@
     let acquired = tokio::select! {
         biased;
         place = &mut ticket.grant => place.ok(),
-        () = outlet.gone() => {
+        () = writer.gone() => {
             gate.withdraw(ticket.id);
             // Releases a place that was granted concurrently.
             if let Ok(place) = ticket.grant.try_recv() {
@@ -86,7 +89,7 @@
 /// Refuses a request if no endpoint becomes available by `wait_deadline`, or by now if that is later.
 fn unservable(gate: &Gate, call: &Call, wait_deadline: Moment) -> Option<Acquired> {
     let now = gate.now();
-    let (reason, retry_after) = match gate.opens(now, &call.service, &call.tried) {
+    let (reason, retry_after) = match gate.available_from(now, &call.service, &call.tried) {
         Some(available_at) if available_at <= wait_deadline.max(now) => return None,
         Some(available_at) => (
             "the endpoints asked for a rest",
@@ -103,7 +106,8 @@
     let (now, account, service) = (gate.now(), call.account_name(), &call.service);
     tracing::info!(
         event = "no_place", request = %call.id(), %account, %service, cost,
-        attained = admission.attained(now, &account), least = admission.least(service),
+        attained = admission.attained_service(now, &account),
+        least = admission.min_attained(service),
         queued = admission.queued(service), rate = admission.rate(now, service),
         waiting = admission.len(),
     );
--- a/cornelstand/src/gateway/admin.rs
+++ b/cornelstand/src/gateway/admin.rs
@@ -39,7 +39,7 @@
     let mut input = BytesMut::new();
     let mut until = Instant::now() + IDLE_TIMEOUT;
     loop {
-        let head = match Head::request(&mut input, MAX_HEAD_BYTES) {
+        let head = match Head::parse_request(&mut input, MAX_HEAD_BYTES) {
             Ok(Some(head)) => head,
             Ok(None) => match timeout_at(until, read_into(&stream, &mut input)).await {
                 Ok(Ok(count)) if count > 0 => continue,
@@ -72,8 +72,8 @@
             Err(error) => (500, TEXT, error.to_string().into_bytes()),
         },
         (Role::Control, "/beliefs") => {
-            let beliefs = gate.state.borrow().directory.beliefs(gate.now());
-            match serde_json::to_vec(&beliefs) {
+            let snapshot = gate.state.borrow().directory.snapshot(gate.now());
+            match serde_json::to_vec(&snapshot) {
                 Ok(json) => (200, "application/json", json),
                 Err(error) => (500, TEXT, error.to_string().into_bytes()),
             }
--- a/cornelstand/src/gateway/containment.rs
+++ b/cornelstand/src/gateway/containment.rs
@@ -24,7 +24,7 @@
 pub(crate) enum Source {
     /// Observed by this instance.
     Own,
-    Beat,
+    Heartbeat,
     Digest,
     Alarm,
 }
@@ -34,7 +34,7 @@
     fn name(self) -> &'static str {
         match self {
             Self::Own => "own",
-            Self::Beat => "beat",
+            Self::Heartbeat => "beat",
             Self::Digest => "digest",
             Self::Alarm => "alarm",
         }
@@ -43,7 +43,7 @@
 
 impl Gate {
     /// Time for which a request is refused because it crashed endpoints.
-    pub(crate) fn refused_for(&self, request: Fingerprint) -> Option<Duration> {
+    pub(crate) fn refusal_left(&self, request: Fingerprint) -> Option<Duration> {
         let state = self.state.borrow();
         match state.suspects.check(self.now(), request) {
             Standing::Refused(left) => Some(left),
@@ -53,7 +53,12 @@
 
     /// Counts a crash against a request, sent at `sent`, if the endpoint that ran it is down or has
     /// restarted.
-    pub(crate) async fn examine(&self, request: Fingerprint, ran: &EndpointRecord, sent: Moment) {
+    pub(crate) async fn confirm_crash(
+        &self,
+        request: Fingerprint,
+        ran: &EndpointRecord,
+        sent: Moment,
+    ) {
         let is_up = Upstream::connect(ran.address, PROBE_TIMEOUT).await.is_ok();
         let has_restarted = self.state.borrow().endpoints.is_replaced(ran);
         if is_up && !has_restarted {
@@ -63,7 +68,7 @@
         }
         let mut crash = Crash {
             endpoint: ran.name.clone(),
-            boot: Some(BootId(ran.born)),
+            boot: Some(BootId(ran.started_at)),
         };
         let was_known = self
             .state
@@ -84,14 +89,14 @@
         let mut state = self.state.borrow_mut();
         let evidence =
             state.update_evidence(&self.metrics, now, Source::Own, request, |suspects| {
-                suspects.note(now, request, crash);
+                suspects.record_crash(now, request, crash);
             });
         tracing::info!(
             event = "endpoint_crashed", %endpoint, fingerprint = %request,
             crashes = evidence.crashes,
         );
         drop(state);
-        self.beat_trigger.notify_one();
+        self.heartbeat_trigger.notify_one();
         if evidence.is_refused {
             self.alarm_trigger.notify_one();
         }
@@ -102,7 +107,7 @@
         let now = self.now();
         let mut state = self.state.borrow_mut();
         state.update_evidence(&self.metrics, now, Source::Own, request, |suspects| {
-            suspects.answer(now, request, status);
+            suspects.record_answer(now, request, status);
         });
     }
 }
@@ -139,7 +144,7 @@
             });
             // The peer knows too few crashes to refuse it, and is sent them again.
             if evidence.is_refused && received.crashes.len() < MAX_CRASHES {
-                self.suspicion_news.resend(now, source, request);
+                self.suspicion_updates.resend(now, source, request);
             }
         }
     }
@@ -160,7 +165,7 @@
             return after;
         }
         metrics.suspicions.with_label_values(&[source.name()]).inc();
-        self.suspicion_news
+        self.suspicion_updates
             .push(now, source, request, after.is_refused);
         let (crashes, fingerprint) = (after.crashes, request);
         let event = match (before.is_refused, after.is_refused) {
--- a/cornelstand/src/gateway/daemon.rs
+++ b/cornelstand/src/gateway/daemon.rs
@@ -13,10 +13,10 @@
 
 use crate::gateway::admin::{self, Role};
 use crate::gateway::follow::{Followed, deregister, follow, follow_instances, follow_peers};
-use crate::gateway::gate::{Closing, Gate};
+use crate::gateway::gate::{Gate, RefusedWork};
 use crate::gateway::logs::LogBuffer;
 use crate::gateway::metrics::GatewayMetrics;
-use crate::gateway::number::float;
+use crate::gateway::number::to_f64;
 use crate::gateway::pauses::boot_time;
 use crate::gateway::settings::peer_address;
 use crate::gateway::{connection, peers_link};
@@ -179,7 +179,7 @@
     }
     spawn(Box::pin(follow_instances(gate.clone())));
     spawn(Box::pin(follow_peers(gate.clone())));
-    spawn(Box::pin(peers_link::send_beats(
+    spawn(Box::pin(peers_link::send_heartbeats(
         gate.clone(),
         peers.clone(),
     )));
@@ -191,7 +191,7 @@
         gate.clone(),
         peers.clone(),
     )));
-    spawn(Box::pin(peers_link::hear_beats(
+    spawn(Box::pin(peers_link::receive_messages(
         gate.clone(),
         peers.clone(),
     )));
@@ -219,12 +219,12 @@
             .set(gate.lag.get() + LAG_WEIGHT * (lag * 1e3 - gate.lag.get()));
         let requests = gate.metrics.requests.get();
         let count = usize::try_from(requests - before).unwrap_or(usize::MAX);
-        let rate = float(count) / (TICK_PERIOD.as_secs_f64() + lag);
+        let rate = to_f64(count) / (TICK_PERIOD.as_secs_f64() + lag);
         gate.activity
             .set(gate.activity.get() + RATE_WEIGHT * (rate - gate.activity.get()));
         before = requests;
         ticks += 1;
-        if gate.has_room.get() || ticks.is_multiple_of(QUEUE_TICKS) {
+        if gate.queue_pass_due.get() || ticks.is_multiple_of(QUEUE_TICKS) {
             gate.serve_queue();
         }
     }
@@ -239,17 +239,17 @@
         let now = gate.now();
         let mut state = gate.state.borrow_mut();
         let expired = state.directory.expire(now);
-        state.endpoints.forget_parts(now);
+        state.endpoints.remove_expired(now);
         state.pool.expire();
-        state.suspects.forgive(now);
-        for peer in state.peers.lost(before, now) {
+        state.suspects.remove_expired(now);
+        for peer in state.peers.newly_silent(before, now) {
             tracing::warn!(event = "peer_lost", %peer);
         }
-        state.peers.forget(now);
+        state.peers.remove_silent(now);
         drop(state);
-        gate.count_peers();
+        gate.apply_peer_state();
         gate.apply(expired);
-        gate.note_load();
+        gate.update_load();
         before = now;
     }
 }
@@ -281,7 +281,7 @@
         active = gate.active.get(),
         grace_ms = grace.as_millis()
     );
-    peers_link::send_beat(gate, peers);
+    peers_link::send_heartbeat(gate, peers);
     let gate_clone = gate.clone();
     tokio::task::spawn_local(async move {
         if timeout(DEREGISTER_TIMEOUT, deregister(&gate_clone))
@@ -292,14 +292,14 @@
         }
     });
     while started.elapsed() < grace {
-        let closing = if started.elapsed() + CALL_REFUSAL_MARGIN >= grace {
-            Closing::Everything
+        let refusing = if started.elapsed() + CALL_REFUSAL_MARGIN >= grace {
+            RefusedWork::Everything
         } else if started.elapsed() >= STREAM_REFUSAL_DELAY {
-            Closing::Streams
+            RefusedWork::Streams
         } else {
-            Closing::Nothing
+            RefusedWork::Nothing
         };
-        gate.closing.set(closing);
+        gate.refusing.set(refusing);
         let is_done = gate.active.get() == 0 && started.elapsed() >= MIN_STOP_TIME;
         if is_done {
             break;
--- a/cornelstand/src/gateway/endpoint_state.rs
+++ b/cornelstand/src/gateway/endpoint_state.rs
@@ -7,7 +7,7 @@
 use derive_more::IsVariant;
 
 use crate::gateway::directory::EndpointRecord;
-use crate::gateway::notices::Noted;
+use crate::gateway::notices::NoticeState;
 use crate::gateway::peers::endpoint_key;
 use crate::gateway::residency::MIN_ADVERTISED_TOKENS;
 use crate::moment::Moment;
@@ -74,7 +74,7 @@
     /// Requests in flight.
     pub(crate) running: u32,
     /// Prompt tokens of requests whose response has not begun.
-    pub(crate) waiting: f64,
+    pub(crate) unread_tokens: f64,
     /// Memory in use, in tokens.
     pub(crate) memory: f64,
     /// Milliseconds between two tokens of a running request; zero if not yet measured.
@@ -97,7 +97,7 @@
             self.token_time = sum / (own + theirs);
         }
         self.running += other.running;
-        self.waiting += other.waiting;
+        self.unread_tokens += other.unread_tokens;
         self.memory += other.memory;
     }
 }
@@ -130,7 +130,7 @@
     pub(crate) own: Load,
     pub(crate) peers: Load,
     /// Prefill milliseconds per token, including queueing and generation steps in between.
-    pub(crate) pace: f64,
+    pub(crate) prefill_pace: f64,
     pub(crate) parts: HashMap<u64, CachedPart>,
     pub(crate) backoff_until: Moment,
     pub(crate) connect_failures: u32,
@@ -139,7 +139,7 @@
     pub(crate) last_sent: Moment,
     pub(crate) cold_sends: VecDeque<Moment>,
     /// Notices from its own responses and from peers.
-    pub(crate) noted: Noted,
+    pub(crate) noted: NoticeState,
 }
 
 impl EndpointState {
@@ -150,14 +150,14 @@
             record,
             own: Load::default(),
             peers: Load::default(),
-            pace: INITIAL_PACE_MS,
+            prefill_pace: INITIAL_PACE_MS,
             parts: HashMap::new(),
             backoff_until: Moment::default(),
             connect_failures: 0,
             failure_rate: 0.0,
             last_sent: Moment::default(),
             cold_sends: VecDeque::new(),
-            noted: Noted::default(),
+            noted: NoticeState::default(),
         }
     }
 
@@ -183,7 +183,7 @@
     }
 
     /// Records a part that a peer advertised.
-    pub(crate) fn note_peer_part(&mut self, now: Moment, part: u64) {
+    pub(crate) fn record_peer_part(&mut self, now: Moment, part: u64) {
         let cached = self.parts.entry(part).or_insert(CachedPart::new(now));
         cached.used = now;
         cached.advertised = Some(now);
@@ -211,15 +211,15 @@
     }
 
     /// Whether the cold limit allows one more request from this instance.
-    pub(crate) fn allows_send(&self, now: Moment, cold_share: Option<u32>) -> bool {
-        let Some(share) = cold_share.filter(|_| self.is_cold(now)) else {
+    pub(crate) fn allows_send(&self, now: Moment, cold_quota: Option<u32>) -> bool {
+        let Some(quota) = cold_quota.filter(|_| self.is_cold(now)) else {
             return true;
         };
         let recent = self.cold_sends.iter();
         let recent = recent
             .filter(|s| now.since(**s) < COLD_LIMIT_WINDOW)
             .count();
-        recent < share as usize
+        recent < quota as usize
     }
 
     /// Shared prefix tokens of `prompt` that are not known to be cached here.
@@ -248,7 +248,7 @@
 
 /// Rank of an endpoint in the rendezvous hashing of a shared prefix.
 #[derive(Clone, Copy, Debug, Eq, IsVariant, PartialEq)]
-pub(crate) enum Home {
+pub(crate) enum Preference {
     First,
     Second,
     None,
--- a/cornelstand/src/gateway/gate.rs
+++ b/cornelstand/src/gateway/gate.rs
@@ -8,19 +8,19 @@
 use tokio::sync::{Notify, oneshot};
 
 use crate::gateway::admission::{Admission, WaitId, Waiting};
-use crate::gateway::budget::{RetryShare, cold_share};
+use crate::gateway::budget::{RetryQuota, cold_quota};
 use crate::gateway::catalog::GatewayService;
 use crate::gateway::containment::Source;
 use crate::gateway::directory::{Directory, EndpointChange, EndpointRecord};
 use crate::gateway::metrics::GatewayMetrics;
 use crate::gateway::notices::Notice;
-use crate::gateway::number::{float, gauge, short};
+use crate::gateway::number::{gauge, to_f32, to_f64};
 use crate::gateway::outputs::Outputs;
 use crate::gateway::pauses::PauseWatch;
-use crate::gateway::peers::{Beat, Digest, News, PeerLoad, Peers};
+use crate::gateway::peers::{Digest, Heartbeat, PeerLoad, Peers, Updates};
 use crate::gateway::placement::{EndpointIndex, Endpoints, Place, PlaceEnd, PlacementRules};
 use crate::gateway::settings::{GatewaySettings, peer_address};
-use crate::gateway::suspicion_news::{Outbox, SuspicionNews};
+use crate::gateway::suspicion_news::{Outbox, SuspicionUpdates};
 use crate::gateway::upstream::Pool;
 use crate::moment::{Clock, Moment};
 use crate::name::{AccountName, ServiceName};
@@ -44,14 +44,14 @@
     pub(crate) directory: Directory,
     pub(crate) endpoints: Endpoints,
     pub(crate) admission: Admission,
-    pub(crate) retries: RetryShare,
+    pub(crate) retries: RetryQuota,
     pub(crate) peers: Peers,
     pub(crate) suspects: Suspects,
-    pub(crate) suspicion_news: SuspicionNews,
+    pub(crate) suspicion_updates: SuspicionUpdates,
     pub(crate) pool: Pool,
     pub(crate) outputs: Outputs,
     waiters: HashMap<WaitId, Waiter>,
-    beat_count: u64,
+    heartbeat_count: u64,
     digest_count: u64,
 }
 
@@ -65,9 +65,9 @@
         };
         self.admission.note_refusal(now, &waiting);
         if let Some(prompt) = &waiting.prompt {
-            self.endpoints.note_wanted(now, prompt);
+            self.endpoints.note_refused_prefix(now, prompt);
         }
-        self.admission.return_after(now, &waiting.account)
+        self.admission.retry_after(now, &waiting.account)
     }
 }
 
@@ -88,18 +88,18 @@
     pub(crate) state: RefCell<State>,
     pub(crate) stopping: Cell<bool>,
     /// New requests that are refused because they would not finish before the process exits.
-    pub(crate) closing: Cell<Closing>,
+    pub(crate) refusing: Cell<RefusedWork>,
     pub(crate) active: Cell<usize>,
     /// Whether capacity may have been freed since the queue was last served.
-    pub(crate) has_room: Cell<bool>,
+    pub(crate) queue_pass_due: Cell<bool>,
     /// Moving average of the process's timer lag, in milliseconds.
     pub(crate) lag: Cell<f64>,
     /// Moving average of requests per second.
     pub(crate) activity: Cell<f64>,
     /// Whether the first attempt to discover peers is over.
     pub(crate) discovery_done: Cell<bool>,
-    /// Wakes the beat sender when peers should learn of a change at once.
-    pub(crate) beat_trigger: Notify,
+    /// Wakes the heartbeat sender when peers should learn of a change at once.
+    pub(crate) heartbeat_trigger: Notify,
     /// Wakes the alarm sender.
     pub(crate) alarm_trigger: Notify,
     pub(crate) connections: Cell<usize>,
@@ -109,7 +109,7 @@
 
 /// Requests that a stopping instance refuses.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub(crate) enum Closing {
+pub(crate) enum RefusedWork {
     Nothing,
     Streams,
     Everything,
@@ -137,24 +137,24 @@
                 directory: Directory::new(),
                 endpoints: Endpoints::default(),
                 admission: Admission::default(),
-                retries: RetryShare::default(),
+                retries: RetryQuota::default(),
                 peers: Peers::default(),
                 suspects: Suspects::default(),
-                suspicion_news: SuspicionNews::default(),
+                suspicion_updates: SuspicionUpdates::default(),
                 pool: Pool::default(),
                 outputs: Outputs::default(),
                 waiters: HashMap::new(),
-                beat_count: 0,
+                heartbeat_count: 0,
                 digest_count: 0,
             }),
             stopping: Cell::new(false),
-            closing: Cell::new(Closing::Nothing),
+            refusing: Cell::new(RefusedWork::Nothing),
             active: Cell::new(0),
-            has_room: Cell::new(false),
+            queue_pass_due: Cell::new(false),
             lag: Cell::new(0.0),
             activity: Cell::new(0.0),
             discovery_done: Cell::new(false),
-            beat_trigger: Notify::new(),
+            heartbeat_trigger: Notify::new(),
             alarm_trigger: Notify::new(),
             connections: Cell::new(0),
             pauses: PauseWatch::default(),
@@ -171,7 +171,7 @@
     }
 
     /// Whether to shed a new stream, chosen at random, because this instance lacks CPU time.
-    pub(crate) fn sheds(&self) -> bool {
+    pub(crate) fn should_shed(&self) -> bool {
         let excess = (self.lag.get() - LAG_TOLERATED_MS) / LAG_SPAN_MS;
         excess > 0.0 && rand::random::<f64>() < excess.min(MAX_SHED_SHARE)
     }
@@ -193,7 +193,7 @@
         if let Some(rules) = self.rules(&state, &service) {
             self.grant_place(&mut state, now, id, &rules);
         }
-        if state.waiters.contains_key(&id) && state.admission.is_hopeless(now, id) {
+        if state.waiters.contains_key(&id) && state.admission.exceeds_wait(now, id) {
             return Err(state.refuse(now, id));
         }
         self.metrics.waiting.set(gauge(state.admission.len()));
@@ -207,7 +207,7 @@
 
     /// Grants places to queued requests while there is room.
     pub(crate) fn serve_queue(&self) {
-        self.has_room.set(false);
+        self.queue_pass_due.set(false);
         let mut state = self.state.borrow_mut();
         if !state.admission.is_empty() {
             self.grant_places(&mut state, self.now());
@@ -217,7 +217,7 @@
     /// Requests a pass over the queue at the next tick. Many events free capacity at about the
     /// same time, and a pass for each would take most of a small processor's time.
     fn request_queue_pass(&self) {
-        self.has_room.set(true);
+        self.queue_pass_due.set(true);
     }
 
     fn grant_places(&self, state: &mut State, now: Moment) {
@@ -246,7 +246,7 @@
         };
         place.charged = waiting.cost();
         if place.prompt_tokens() >= URGENT_PROMPT_TOKENS {
-            self.beat_trigger.notify_one();
+            self.heartbeat_trigger.notify_one();
         }
         state.admission.remove(id);
         state.admission.charge(now, &waiting);
@@ -259,17 +259,17 @@
 
     /// Earliest time at which an endpoint of `service` that is not in `tried` accepts requests,
     /// or `None` if none will.
-    pub(crate) fn opens(
+    pub(crate) fn available_from(
         &self,
         now: Moment,
         service: &ServiceName,
         tried: &[EndpointIndex],
     ) -> Option<Moment> {
-        opens(&self.state.borrow(), now, service, tried)
+        available_from(&self.state.borrow(), now, service, tried)
     }
 
     /// Applies the notice that the endpoint of `place` sent.
-    pub(crate) fn note(&self, place: &Place, notice: Notice) {
+    pub(crate) fn apply_notice(&self, place: &Place, notice: Notice) {
         if notice == Notice::default() {
             return;
         }
@@ -290,7 +290,7 @@
         }
         drop(state);
         if starts_leaving {
-            self.beat_trigger.notify_one();
+            self.heartbeat_trigger.notify_one();
         }
     }
 
@@ -304,10 +304,10 @@
         Some(PlacementRules {
             memory: spec.engine.as_ref().map(|e| e.memory),
             objective: catalog.objective(service),
-            cold_share: (spec.cold_rate > 0.0)
-                .then(|| cold_share(limit, state.peers.count(), rank)),
+            cold_quota: (spec.cold_rate > 0.0)
+                .then(|| cold_quota(limit, state.peers.count(), rank)),
             centre: settings.centre.clone(),
-            kept_only: false,
+            cached_only: false,
             left: Duration::MAX,
             token_time: state.outputs.token_time(service),
         })
@@ -317,7 +317,7 @@
     pub(crate) fn begin(&self, place: &mut Place) {
         self.state.borrow_mut().endpoints.begin(self.now(), place);
         if place.prompt_tokens() >= URGENT_PROMPT_TOKENS {
-            self.beat_trigger.notify_one();
+            self.heartbeat_trigger.notify_one();
         }
         self.request_queue_pass();
     }
@@ -361,7 +361,7 @@
                     tracing::info!(
                         event = "endpoint_listed", endpoint = %record.name, service = %record.service,
                         address = %record.address, centre = %record.centre, leaving = record.leaving,
-                        cold_ms = record.cold.as_millis(), born = record.born,
+                        cold_ms = record.cold.as_millis(), born = record.started_at,
                     );
                     state.endpoints.put(now, record);
                 }
@@ -381,7 +381,7 @@
 
     /// Updates the admission capacity from the endpoints' load, and logs what recent
     /// decisions were based on.
-    pub(crate) fn note_load(&self) {
+    pub(crate) fn update_load(&self) {
         let now = self.now();
         let mut state = self.state.borrow_mut();
         let state = &mut *state;
@@ -390,14 +390,15 @@
                 continue;
             }
             let summary = state.endpoints.summary(now, service);
-            let rate = f64::from(summary.usable) * 1e3 / summary.pace.max(1e-3);
-            let instances = float(state.peers.count());
+            let rate = f64::from(summary.usable) * 1e3 / summary.prefill_pace.max(1e-3);
+            let instances = to_f64(state.peers.count());
             state.admission.set_capacity(service, rate, instances);
             tracing::info!(
                 event = "load", %service, endpoints = summary.usable, running = summary.running,
-                prompt_tokens = summary.waiting, memory = summary.memory,
+                prompt_tokens = summary.unread_tokens, memory = summary.memory,
                 token_ms = summary.token_time, token_ms_limit = state.outputs.token_time(service),
-                pace = summary.pace, waiting = state.admission.len(), level = state.admission.level(),
+                pace = summary.prefill_pace, waiting = state.admission.len(),
+                level = state.admission.average_attained(),
                 peers = state.peers.live(now).count(),
             );
         }
@@ -431,16 +432,16 @@
     /// Applies a digest of another data centre. Returns whether it is new.
     pub(crate) fn receive_digest(&self, digest: Digest) -> bool {
         let now = self.now();
-        self.metrics.beats.inc();
+        self.metrics.heartbeats.inc();
         let mut state = self.state.borrow_mut();
-        self.apply_news(&mut state, now, Source::Digest, &digest.news);
+        self.apply_updates(&mut state, now, Source::Digest, &digest.updates);
         state.peers.record_digest(now, digest)
     }
 
     /// Builds the digest of this data centre.
     pub(crate) fn digest(&self) -> Digest {
         let now = self.now();
-        let own = self.build_beat(now, |news| &mut news.digests);
+        let own = self.build_heartbeat(now, |updates| &mut updates.digests);
         let sender = peer_address(&self.settings.borrow());
         let mut state = self.state.borrow_mut();
         state.digest_count += 1;
@@ -452,9 +453,9 @@
         let now = self.now();
         let mut state = self.state.borrow_mut();
         let state = &mut *state;
-        let outbox = &mut state.suspicion_news.alarms;
-        let suspicions = outbox.take_news(now, &state.suspects);
-        self.metrics.untold.inc_by(outbox.take_unsent());
+        let outbox = &mut state.suspicion_updates.alarms;
+        let suspicions = outbox.take_updates(now, &state.suspects);
+        self.metrics.unsent.inc_by(outbox.take_unsent());
         suspicions
     }
 
@@ -465,34 +466,34 @@
         state.merge_suspicions(&self.metrics, now, Source::Alarm, suspicions);
     }
 
-    /// Applies a beat of a peer.
-    pub(crate) fn hear(&self, address: std::net::SocketAddr, beat: Beat) {
+    /// Applies a heartbeat of a peer.
+    pub(crate) fn receive_heartbeat(&self, address: std::net::SocketAddr, heartbeat: Heartbeat) {
         let now = self.now();
-        self.metrics.beats.inc();
+        self.metrics.heartbeats.inc();
         let mut state = self.state.borrow_mut();
         let state = &mut *state;
-        self.apply_news(state, now, Source::Beat, &beat.news);
-        let name = beat.instance.clone();
-        let is_same_centre = beat.centre == self.settings.borrow().centre;
-        if state.peers.record_beat(now, address, beat) && is_same_centre {
+        self.apply_updates(state, now, Source::Heartbeat, &heartbeat.updates);
+        let name = heartbeat.instance.clone();
+        let is_same_centre = heartbeat.centre == self.settings.borrow().centre;
+        if state.peers.record_heartbeat(now, address, heartbeat) && is_same_centre {
             tracing::info!(event = "peer_heard", peer = %name, %address);
         }
     }
 
-    /// Applies the news of a beat or a digest.
-    fn apply_news(&self, state: &mut State, now: Moment, source: Source, news: &News) {
-        let News {
+    /// Applies the updates of a heartbeat or a digest.
+    fn apply_updates(&self, state: &mut State, now: Moment, source: Source, updates: &Updates) {
+        let Updates {
             suspicions,
             leaving,
             residents,
-        } = news;
+        } = updates;
         state.merge_suspicions(&self.metrics, now, source, suspicions);
         note_leaving(state, now, leaving);
-        state.endpoints.hear_residents(now, residents);
+        state.endpoints.record_peer_residents(now, residents);
     }
 
     /// Applies the peers' load to decisions.
-    pub(crate) fn count_peers(&self) {
+    pub(crate) fn apply_peer_state(&self) {
         let now = self.now();
         let mut state = self.state.borrow_mut();
         let state = &mut *state;
@@ -504,55 +505,59 @@
         state.outputs.set_peers(state.peers.token_times(now));
         state
             .admission
-            .set_peers(now, state.peers.attained(now, centre));
+            .set_peers(now, state.peers.attained_service(now, centre));
         state
             .admission
-            .set_wanting(state.peers.wanting(now, centre));
+            .set_peer_demands(state.peers.demands(now, centre));
     }
 
-    /// Builds the next beat.
-    pub(crate) fn beat(&self) -> Beat {
-        self.build_beat(self.now(), |news| &mut news.beats)
+    /// Builds the next heartbeat.
+    pub(crate) fn heartbeat(&self) -> Heartbeat {
+        self.build_heartbeat(self.now(), |updates| &mut updates.heartbeats)
     }
 
-    /// Builds a beat with this instance's state and the suspicions due in `outbox`.
-    fn build_beat(&self, now: Moment, outbox: impl Fn(&mut SuspicionNews) -> &mut Outbox) -> Beat {
+    /// Builds a heartbeat with this instance's state and the suspicions due in `outbox`.
+    fn build_heartbeat(
+        &self,
+        now: Moment,
+        outbox: impl Fn(&mut SuspicionUpdates) -> &mut Outbox,
+    ) -> Heartbeat {
         let settings = self.settings.borrow();
         let mut state = self.state.borrow_mut();
         let state = &mut *state;
-        state.beat_count += 1;
-        let outbox = outbox(&mut state.suspicion_news);
+        state.heartbeat_count += 1;
+        let outbox = outbox(&mut state.suspicion_updates);
         let suspicions = outbox.take(now, &state.suspects);
-        self.metrics.untold.inc_by(outbox.take_unsent());
+        self.metrics.unsent.inc_by(outbox.take_unsent());
         let loads = state.endpoints.own_loads();
         let loads = loads.map(|(key, load)| PeerLoad::new(key, load));
-        let wanting = state.admission.wanting(now);
-        let attained = state.admission.own(now);
-        let attained = attained.filter(|(_, sum)| *sum >= 1.0);
-        Beat {
+        let demands = state.admission.demands(now);
+        let attained_service = state.admission.own(now);
+        let attained_service = attained_service.filter(|(_, sum)| *sum >= 1.0);
+        Heartbeat {
             instance: settings.instance.clone(),
             centre: settings.centre.clone(),
             cores: settings.cores,
-            activity: short(self.activity.get()),
+            activity: to_f32(self.activity.get()),
             incarnation: self.incarnation,
-            number: state.beat_count,
+            number: state.heartbeat_count,
             store_time: state.directory.store_time(now),
             store_lost: state.directory.is_store_lost(now),
-            marks: state.directory.marks(),
+            versions: state.directory.versions(),
             beliefs: settings.control.unwrap_or(settings.readiness),
             version: state.directory.catalog().version,
             stopping: self.stopping.get(),
             loads: loads.collect(),
-            attained: attained
-                .map(|(name, sum)| (name.clone(), short(sum)))
+            attained_service: attained_service
+                .map(|(name, sum)| (name.clone(), to_f32(sum)))
                 .collect(),
-            wanting: wanting.into_iter().collect(),
+            demands: demands.into_iter().collect(),
             token_times: state
                 .outputs
                 .own_times()
-                .map(|(s, time)| (s.clone(), short(time)))
+                .map(|(s, time)| (s.clone(), to_f32(time)))
                 .collect(),
-            news: News {
+            updates: Updates {
                 suspicions,
                 leaving: state.endpoints.leaving(now),
                 residents: state.endpoints.residents(now),
@@ -563,16 +568,18 @@
 
 /// Earliest time at which an endpoint of `service` that is not in `tried` accepts requests, or
 /// `None` if none will.
-fn opens(
+fn available_from(
     state: &State,
     now: Moment,
     service: &ServiceName,
     tried: &[EndpointIndex],
 ) -> Option<Moment> {
     let directory = &state.directory;
-    state.endpoints.opens(now, service, |index, record| {
-        !tried.contains(&index) && !directory.is_evacuated(&record.centre)
-    })
+    state
+        .endpoints
+        .available_from(now, service, |index, record| {
+            !tried.contains(&index) && !directory.is_evacuated(&record.centre)
+        })
 }
 
 /// Marks endpoints that a peer reports as leaving.
@@ -593,8 +600,8 @@
         else {
             return false;
         };
-        let opens = opens(state, now, &waiting.service, &waiter.tried);
-        opens.is_none_or(|o| o > waiting.gives_up)
+        let available_from = available_from(state, now, &waiting.service, &waiter.tried);
+        available_from.is_none_or(|o| o > waiting.queue_deadline)
     };
     let unservable: Vec<WaitId> = state
         .waiters
@@ -620,8 +627,8 @@
     }
     let mut rules = rules.clone();
     let prompt = waiting.prompt.as_ref();
-    let is_wanted = prompt.is_some_and(|p| state.endpoints.is_wanted(now, p));
-    rules.kept_only = now < waiting.spreads && !is_wanted;
+    let should_replicate = prompt.is_some_and(|p| state.endpoints.should_replicate(now, p));
+    rules.cached_only = now < waiting.cached_until && !should_replicate;
     rules.left = waiting.ends.since(now);
     let tried = &state.waiters.get(&id)?.tried;
     let directory = &state.directory;
--- a/cornelstand/src/gateway/peers.rs
+++ b/cornelstand/src/gateway/peers.rs
@@ -1,10 +1,10 @@
-//! State of the peers of an instance, from the beats that instances exchange.
+//! State of the peers of an instance, from the heartbeats that instances exchange.
 //!
-//! A beat carries the whole state that the sender shares, so that a lost one costs only freshness.
-//! Peers are found in the platform's store and by the beats they send. In a small fleet beats go to
-//! all. In a larger one they stay in their data centre, and its leader sends their sum to the other
-//! data centres as a digest, which is forwarded there: so the messages per instance grow with its
-//! data centre and not with the fleet.
+//! A heartbeat carries the whole state that the sender shares, so that a lost one costs only
+//! freshness. Peers are found in the platform's store and by the heartbeats they send. In a small
+//! fleet heartbeats go to all. In a larger one they stay in their data centre, and its leader sends
+//! their sum to the other data centres as a digest, which is forwarded there: so the messages per
+//! instance grow with its data centre and not with the fleet.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -12,31 +12,32 @@
 
 use serde::{Deserialize, Serialize};
 
-use crate::gateway::admission::{Want, join_wants};
-use crate::gateway::directory::{EndpointRecord, Marks};
+use crate::gateway::admission::{Demand, merge_demands};
+use crate::gateway::directory::{EndpointRecord, ViewVersions};
 use crate::gateway::endpoint_state::Load;
-use crate::gateway::number::{float, short, whole};
+use crate::gateway::number::{to_f32, to_f64, to_u64};
 use crate::gateway::residency::{Resident, join_residents};
 use crate::gateway::settings::GatewaySettings;
 use crate::moment::Moment;
 use crate::name::{AccountName, CentreName, InstanceName, ServiceName};
 use crate::suspect::Suspicion;
 
-/// Time without beats after which the load of a peer no longer counts: its connections are closed
-/// or their requests have ended.
+/// Time without heartbeats after which the load of a peer no longer counts: its connections are
+/// closed or their requests have ended.
 const SILENCE_TIMEOUT: Duration = Duration::from_millis(1_500);
-/// Time without beats after which a peer is removed.
+/// Time without heartbeats after which a peer is removed.
 const PEER_RETENTION: Duration = Duration::from_mins(1);
 
 /// Instances of a data centre that watch the store in a large fleet.
 const STORE_WATCHERS: usize = 2;
 
-/// Number of peers from which data centres exchange digests: with fewer, beats to all cost less.
+/// Number of peers from which data centres exchange digests: with fewer, heartbeats to all cost
+/// less.
 const LARGE_FLEET_PEERS: usize = 12;
 
 /// State that an instance shares with its peers.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
-pub(crate) struct Beat {
+pub(crate) struct Heartbeat {
     pub(crate) instance: InstanceName,
     pub(crate) centre: CentreName,
     /// Processor cores of the sender.
@@ -51,25 +52,29 @@
     /// Whether the sender's calls to the store failed recently.
     pub(crate) store_lost: bool,
     /// Versions of the sender's endpoints and evacuations.
-    pub(crate) marks: Marks,
-    /// Address that serves the sender's beliefs.
+    #[serde(rename = "marks")]
+    pub(crate) versions: ViewVersions,
+    /// Address that serves the sender's directory snapshot.
     pub(crate) beliefs: SocketAddr,
     /// Version of the configuration in force at the sender.
     pub(crate) version: u64,
     pub(crate) stopping: bool,
     pub(crate) loads: Vec<PeerLoad>,
-    pub(crate) attained: Vec<(AccountName, f32)>,
+    #[serde(rename = "attained")]
+    pub(crate) attained_service: Vec<(AccountName, f32)>,
     /// Demand of accounts at the sender, by service.
-    pub(crate) wanting: Vec<(ServiceName, Vec<Want>)>,
+    #[serde(rename = "wanting")]
+    pub(crate) demands: Vec<(ServiceName, Vec<Demand>)>,
     /// Longest token intervals at which long answers still end in time, in milliseconds, as seen at
     /// the sender, by service.
     pub(crate) token_times: Vec<(ServiceName, f32)>,
-    pub(crate) news: News,
+    #[serde(rename = "news")]
+    pub(crate) updates: Updates,
 }
 
 /// Updates that the receivers keep, in contrast to the sender's current state.
 #[derive(Clone, Debug, Default, Deserialize, PartialEq, Serialize)]
-pub(crate) struct News {
+pub(crate) struct Updates {
     /// Requests suspected of crashes.
     pub(crate) suspicions: Vec<Suspicion>,
     /// Endpoints that recently announced that they leave, by [`endpoint_key`].
@@ -94,9 +99,9 @@
         Self {
             endpoint,
             running: load.running,
-            waiting: short(load.waiting),
-            memory: short(load.memory),
-            token_time: short(load.token_time),
+            waiting: to_f32(load.unread_tokens),
+            memory: to_f32(load.memory),
+            token_time: to_f32(load.token_time),
         }
     }
 }
@@ -104,7 +109,7 @@
 /// Hash that identifies one lifetime of an endpoint.
 pub(crate) fn endpoint_key(record: &EndpointRecord) -> u32 {
     let name = record.name.as_str().as_bytes();
-    let hash = xxhash_rust::xxh3::xxh3_64_with_seed(name, record.born);
+    let hash = xxhash_rust::xxh3::xxh3_64_with_seed(name, record.started_at);
     u32::try_from(hash >> 32).unwrap_or_default()
 }
 
@@ -116,21 +121,25 @@
     pub(crate) order: (u64, u64),
     /// Peer address of the sender; the datagram may come from an instance that forwarded it.
     pub(crate) sender: SocketAddr,
-    /// Address that serves the sender's beliefs.
+    /// Address that serves the sender's directory snapshot.
     pub(crate) beliefs: SocketAddr,
     /// Version of the configuration in force at the sender.
     pub(crate) version: u64,
     pub(crate) members: usize,
     pub(crate) loads: Vec<PeerLoad>,
-    pub(crate) attained: Vec<(AccountName, f32)>,
-    pub(crate) wanting: Vec<(ServiceName, Vec<Want>)>,
-    pub(crate) news: News,
+    #[serde(rename = "attained")]
+    pub(crate) attained_service: Vec<(AccountName, f32)>,
+    #[serde(rename = "wanting")]
+    pub(crate) demands: Vec<(ServiceName, Vec<Demand>)>,
+    #[serde(rename = "news")]
+    pub(crate) updates: Updates,
 }
 
 /// A message between instances.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 pub(crate) enum Message {
-    Beat(Beat),
+    #[serde(rename = "Beat")]
+    Heartbeat(Heartbeat),
     Digest(Digest),
     /// Suspicions that all peers need before a caller can retry.
     Alarm(Vec<Suspicion>),
@@ -142,7 +151,7 @@
     centre: CentreName,
     cores: f32,
     last_heard: Option<Moment>,
-    beat: Option<Beat>,
+    heartbeat: Option<Heartbeat>,
 }
 
 /// All known peers.
@@ -157,7 +166,7 @@
 
 fn rank(name: &InstanceName, cores: f32) -> Rank {
     // Whole hundredths, because floats have no total order.
-    let cores = whole(f64::from(cores) * 100.0);
+    let cores = to_u64(f64::from(cores) * 100.0);
     (cores, xxhash_rust::xxh3::xxh3_64(name.as_str().as_bytes()))
 }
 
@@ -176,30 +185,42 @@
             centre,
             cores,
             last_heard: None,
-            beat: None,
+            heartbeat: None,
         });
     }
 
-    /// Records a beat. Returns whether its sender was silent before.
-    pub(crate) fn record_beat(&mut self, now: Moment, address: SocketAddr, beat: Beat) -> bool {
-        let peer = self.peers.entry(beat.instance.clone()).or_insert(Peer {
-            address,
-            centre: beat.centre.clone(),
-            cores: beat.cores,
-            last_heard: None,
-            beat: None,
-        });
-        let order = |b: &Beat| (b.incarnation, b.number);
-        if peer.beat.as_ref().is_some_and(|b| order(b) >= order(&beat)) {
+    /// Records a heartbeat. Returns whether its sender was silent before.
+    pub(crate) fn record_heartbeat(
+        &mut self,
+        now: Moment,
+        address: SocketAddr,
+        heartbeat: Heartbeat,
+    ) -> bool {
+        let peer = self
+            .peers
+            .entry(heartbeat.instance.clone())
+            .or_insert(Peer {
+                address,
+                centre: heartbeat.centre.clone(),
+                cores: heartbeat.cores,
+                last_heard: None,
+                heartbeat: None,
+            });
+        let order = |b: &Heartbeat| (b.incarnation, b.number);
+        if peer
+            .heartbeat
+            .as_ref()
+            .is_some_and(|b| order(b) >= order(&heartbeat))
+        {
             return false;
         }
         let was_silent = peer
             .last_heard
             .is_none_or(|h| now.since(h) >= SILENCE_TIMEOUT);
         peer.address = address;
-        peer.cores = beat.cores;
+        peer.cores = heartbeat.cores;
         peer.last_heard = Some(now);
-        peer.beat = Some(beat);
+        peer.heartbeat = Some(heartbeat);
         was_silent
     }
 
@@ -253,20 +274,20 @@
         neighbours.filter_map(|b| b.store_time).max()
     }
 
-    /// Builds the digest of a data centre with this number from the beats of its live instances and
-    /// the `own` one of `sender`.
+    /// Builds the digest of a data centre with this number from the heartbeats of its live
+    /// instances and the `own` one of `sender`.
     pub(crate) fn digest(
         &self,
         now: Moment,
-        own: &Beat,
+        own: &Heartbeat,
         number: u64,
         sender: SocketAddr,
     ) -> Digest {
         let neighbours = self.live(now).filter(|b| b.centre == own.centre);
-        let beats: Vec<&Beat> = neighbours.chain([own]).collect();
-        let loads = sum_loads(beats.iter().flat_map(|b| &b.loads));
-        let attained = sum_attained(beats.iter().flat_map(|b| &b.attained));
-        let wanting = merge_wanting(beats.iter().flat_map(|b| &b.wanting));
+        let heartbeats: Vec<&Heartbeat> = neighbours.chain([own]).collect();
+        let loads = sum_loads(heartbeats.iter().flat_map(|b| &b.loads));
+        let attained_service = sum_attained(heartbeats.iter().flat_map(|b| &b.attained_service));
+        let demands = collect_demands(heartbeats.iter().flat_map(|b| &b.demands));
         let members = self.peers.values().filter(|p| p.centre == own.centre);
         Digest {
             members: members.count() + 1,
@@ -274,18 +295,18 @@
                 .into_iter()
                 .map(|(key, load)| PeerLoad::new(key, load))
                 .collect(),
-            attained: attained
+            attained_service: attained_service
                 .into_iter()
-                .map(|(a, sum)| (a, short(sum)))
+                .map(|(a, sum)| (a, to_f32(sum)))
                 .collect(),
-            wanting: wanting
+            demands: demands
                 .into_iter()
-                .map(|(s, wants)| (s, join_wants(wants)))
+                .map(|(s, demands)| (s, merge_demands(demands)))
                 .collect(),
-            news: News {
-                suspicions: own.news.suspicions.clone(),
-                leaving: own.news.leaving.clone(),
-                residents: join_residents(beats.iter().flat_map(|b| &b.news.residents)),
+            updates: Updates {
+                suspicions: own.updates.suspicions.clone(),
+                leaving: own.updates.leaving.clone(),
+                residents: join_residents(heartbeats.iter().flat_map(|b| &b.updates.residents)),
             },
             order: (own.incarnation, number),
             sender,
@@ -324,8 +345,8 @@
         others.into_iter().filter_map(pick).collect()
     }
 
-    /// Addresses to which beats are sent.
-    pub(crate) fn beat_targets(&self, centre: &CentreName) -> Vec<SocketAddr> {
+    /// Addresses to which heartbeats are sent.
+    pub(crate) fn heartbeat_targets(&self, centre: &CentreName) -> Vec<SocketAddr> {
         let is_large = self.is_large();
         let neighbours = self
             .peers
@@ -345,27 +366,27 @@
     }
 
     /// Peers that have fallen silent since `before`.
-    pub(crate) fn lost(&self, before: Moment, now: Moment) -> Vec<&InstanceName> {
+    pub(crate) fn newly_silent(&self, before: Moment, now: Moment) -> Vec<&InstanceName> {
         let is_silent =
             |p: &Peer, at: Moment| p.last_heard.is_some_and(|h| at.since(h) >= SILENCE_TIMEOUT);
-        let lost = |p: &Peer| is_silent(p, now) && !is_silent(p, before);
-        let lost = self.peers.iter().filter(|(_, p)| lost(p));
-        lost.map(|(name, _)| name).collect()
+        let newly_silent = |p: &Peer| is_silent(p, now) && !is_silent(p, before);
+        let newly_silent = self.peers.iter().filter(|(_, p)| newly_silent(p));
+        newly_silent.map(|(name, _)| name).collect()
     }
 
     /// Removes peers that have been silent for long.
-    pub(crate) fn forget(&mut self, now: Moment) {
+    pub(crate) fn remove_silent(&mut self, now: Moment) {
         self.peers
             .retain(|_, p| p.last_heard.is_none_or(|h| now.since(h) < PEER_RETENTION));
     }
 
-    /// Beats of peers that are not silent.
-    pub(crate) fn live(&self, now: Moment) -> impl Iterator<Item = &Beat> {
+    /// Heartbeats of peers that are not silent.
+    pub(crate) fn live(&self, now: Moment) -> impl Iterator<Item = &Heartbeat> {
         let is_live = move |p: &&Peer| p.last_heard.is_some_and(|h| now.since(h) < SILENCE_TIMEOUT);
         self.peers
             .values()
             .filter(is_live)
-            .filter_map(|p| p.beat.as_ref())
+            .filter_map(|p| p.heartbeat.as_ref())
     }
 
     /// Number of instances that may be running, with silent ones and this one.
@@ -388,8 +409,12 @@
         fresh.map(|(_, d)| d).filter(move |d| d.centre != *centre)
     }
 
-    /// Live beats that no fresh digest covers.
-    fn undigested_beats(&self, now: Moment, centre: &CentreName) -> impl Iterator<Item = &Beat> {
+    /// Live heartbeats that no fresh digest covers.
+    fn undigested_heartbeats(
+        &self,
+        now: Moment,
+        centre: &CentreName,
+    ) -> impl Iterator<Item = &Heartbeat> {
         let is_digested =
             move |c: &CentreName| self.fresh_digests(now, centre).any(|d| d.centre == *c);
         self.live(now).filter(move |b| !is_digested(&b.centre))
@@ -397,36 +422,56 @@
 
     /// Load of all live peers, by [`endpoint_key`], as seen in `centre`.
     pub(crate) fn loads(&self, now: Moment, centre: &CentreName) -> HashMap<u32, Load> {
-        let beats = self.undigested_beats(now, centre).flat_map(|b| &b.loads);
-        sum_loads(beats.chain(self.fresh_digests(now, centre).flat_map(|d| &d.loads)))
+        let heartbeats = self
+            .undigested_heartbeats(now, centre)
+            .flat_map(|b| &b.loads);
+        sum_loads(heartbeats.chain(self.fresh_digests(now, centre).flat_map(|d| &d.loads)))
     }
 
     /// Usage that accounts attained through all live peers.
-    pub(crate) fn attained(&self, now: Moment, centre: &CentreName) -> HashMap<AccountName, f64> {
-        let beats = self.undigested_beats(now, centre).flat_map(|b| &b.attained);
-        sum_attained(beats.chain(self.fresh_digests(now, centre).flat_map(|d| &d.attained)))
+    pub(crate) fn attained_service(
+        &self,
+        now: Moment,
+        centre: &CentreName,
+    ) -> HashMap<AccountName, f64> {
+        let heartbeats = self
+            .undigested_heartbeats(now, centre)
+            .flat_map(|b| &b.attained_service);
+        sum_attained(
+            heartbeats.chain(
+                self.fresh_digests(now, centre)
+                    .flat_map(|d| &d.attained_service),
+            ),
+        )
     }
 
     /// Demand of accounts at live peers, by service.
-    pub(crate) fn wanting(
+    pub(crate) fn demands(
         &self,
         now: Moment,
         centre: &CentreName,
-    ) -> HashMap<ServiceName, Vec<Want>> {
-        let beats = self.undigested_beats(now, centre).flat_map(|b| &b.wanting);
-        merge_wanting(beats.chain(self.fresh_digests(now, centre).flat_map(|d| &d.wanting)))
+    ) -> HashMap<ServiceName, Vec<Demand>> {
+        let heartbeats = self
+            .undigested_heartbeats(now, centre)
+            .flat_map(|b| &b.demands);
+        collect_demands(heartbeats.chain(self.fresh_digests(now, centre).flat_map(|d| &d.demands)))
     }
 
-    /// Instance of `centre` with newer endpoints or evacuations than `marks`.
-    pub(crate) fn newer_beliefs(
+    /// Instance of `centre` with newer endpoints or evacuations than `versions`.
+    pub(crate) fn newer_snapshot(
         &self,
         now: Moment,
         centre: &CentreName,
-        marks: Marks,
+        versions: ViewVersions,
     ) -> Option<SocketAddr> {
         let neighbours = self.live(now).filter(|b| b.centre == *centre);
-        let newer = neighbours.filter(|b| b.marks.are_newer(marks));
-        let revisions = |b: &&Beat| (b.marks.evacuations.revision, b.marks.endpoints.revision);
+        let newer = neighbours.filter(|b| b.versions.are_newer(versions));
+        let revisions = |b: &&Heartbeat| {
+            (
+                b.versions.evacuations.revision,
+                b.versions.endpoints.revision,
+            )
+        };
         newer.max_by_key(revisions).map(|b| b.beliefs)
     }
 
@@ -436,7 +481,7 @@
         for (service, time) in self.live(now).flat_map(|b| &b.token_times) {
             let (mean, count) = means.entry(service.clone()).or_default();
             *count += 1;
-            *mean += (f64::from(*time) - *mean) / float(*count);
+            *mean += (f64::from(*time) - *mean) / to_f64(*count);
         }
         means
     }
@@ -459,7 +504,7 @@
     for load in loads {
         *sums.entry(load.endpoint).or_default() += Load {
             running: load.running,
-            waiting: f64::from(load.waiting),
+            unread_tokens: f64::from(load.waiting),
             memory: f64::from(load.memory),
             token_time: f64::from(load.token_time),
         };
@@ -468,21 +513,21 @@
 }
 
 fn sum_attained<'a>(
-    attained: impl Iterator<Item = &'a (AccountName, f32)>,
+    attained_service: impl Iterator<Item = &'a (AccountName, f32)>,
 ) -> HashMap<AccountName, f64> {
     let mut sums: HashMap<AccountName, f64> = HashMap::new();
-    for (name, sum) in attained {
+    for (name, sum) in attained_service {
         *sums.entry(name.clone()).or_default() += f64::from(*sum);
     }
     sums
 }
 
-fn merge_wanting<'a>(
-    wanting: impl Iterator<Item = &'a (ServiceName, Vec<Want>)>,
-) -> HashMap<ServiceName, Vec<Want>> {
-    let mut joined: HashMap<ServiceName, Vec<Want>> = HashMap::new();
-    for (service, wants) in wanting {
-        joined.entry(service.clone()).or_default().extend(wants);
+fn collect_demands<'a>(
+    demands: impl Iterator<Item = &'a (ServiceName, Vec<Demand>)>,
+) -> HashMap<ServiceName, Vec<Demand>> {
+    let mut joined: HashMap<ServiceName, Vec<Demand>> = HashMap::new();
+    for (service, demands) in demands {
+        joined.entry(service.clone()).or_default().extend(demands);
     }
     joined
 }
--- a/cornelstand/src/gateway/placement.rs
+++ b/cornelstand/src/gateway/placement.rs
@@ -16,7 +16,7 @@
 
 use crate::gateway::admission::DecayingSum;
 use crate::gateway::directory::EndpointRecord;
-use crate::gateway::endpoint_state::{EndpointState, Home, Load, Prompt};
+use crate::gateway::endpoint_state::{EndpointState, Load, Preference, Prompt};
 use crate::gateway::notices::{Notice, Notices};
 use crate::gateway::residency::{ResidencyLog, Resident};
 use crate::moment::Moment;
@@ -77,19 +77,19 @@
 
 /// The two endpoints with the highest hash weight for an anchor.
 #[derive(Clone, Copy, Debug, Default)]
-struct Homes {
+struct PreferredEndpoints {
     first: Option<EndpointIndex>,
     second: Option<EndpointIndex>,
 }
 
-impl Homes {
-    fn of(self, index: EndpointIndex) -> Home {
+impl PreferredEndpoints {
+    fn of(self, index: EndpointIndex) -> Preference {
         if self.first == Some(index) {
-            Home::First
+            Preference::First
         } else if self.second == Some(index) {
-            Home::Second
+            Preference::Second
         } else {
-            Home::None
+            Preference::None
         }
     }
 }
@@ -102,7 +102,7 @@
     /// Shortest objective of the service's routes.
     pub(crate) objective: Duration,
     /// Requests per second that this instance may send to a cold endpoint, if there is a limit.
-    pub(crate) cold_share: Option<u32>,
+    pub(crate) cold_quota: Option<u32>,
     /// Longest time between two tokens, in milliseconds, with which long responses end in time.
     pub(crate) token_time: f64,
     /// Time left for the response.
@@ -110,7 +110,7 @@
     /// Data centre of this instance.
     pub(crate) centre: CentreName,
     /// Whether only endpoints with the shared prefix cached will do.
-    pub(crate) kept_only: bool,
+    pub(crate) cached_only: bool,
 }
 
 /// A request's reservation at an endpoint.
@@ -138,7 +138,7 @@
 
     /// Prompt tokens that the endpoint has to read for the request.
     pub(crate) fn prompt_tokens(&self) -> f64 {
-        self.load.waiting
+        self.load.unread_tokens
     }
 
     /// Prompt tokens to read before the response begins, as estimated at reservation.
@@ -176,10 +176,10 @@
 pub(crate) struct Summary {
     pub(crate) usable: u32,
     pub(crate) running: f64,
-    pub(crate) waiting: f64,
+    pub(crate) unread_tokens: f64,
     pub(crate) memory: f64,
     pub(crate) token_time: f64,
-    pub(crate) pace: f64,
+    pub(crate) prefill_pace: f64,
 }
 
 /// All endpoints.
@@ -214,7 +214,7 @@
     pub(crate) fn is_replaced(&self, record: &EndpointRecord) -> bool {
         let mut listed = self.states.iter().flatten().map(|s| &s.record);
         listed.any(|r| {
-            let is_same = r.name == record.name && r.born == record.born;
+            let is_same = r.name == record.name && r.started_at == record.started_at;
             !is_same && (r.name == record.name || r.address == record.address)
         })
     }
@@ -226,17 +226,17 @@
             let load = state.total();
             summary.usable += 1;
             summary.running += f64::from(load.running);
-            summary.waiting += load.waiting;
+            summary.unread_tokens += load.unread_tokens;
             summary.memory += load.memory;
             summary.token_time += load.token_time;
-            summary.pace += state.pace;
+            summary.prefill_pace += state.prefill_pace;
         }
         let count = f64::from(summary.usable.max(1));
         summary.running /= count;
-        summary.waiting /= count;
+        summary.unread_tokens /= count;
         summary.memory /= count;
         summary.token_time /= count;
-        summary.pace /= count;
+        summary.prefill_pace /= count;
         summary
     }
 
@@ -245,7 +245,9 @@
         if let Some(index) = self.find(&record.name)
             && let Some(state) = &mut self.states[index]
         {
-            if state.record.born == record.born && state.record.service == record.service {
+            if state.record.started_at == record.started_at
+                && state.record.service == record.service
+            {
                 state.cold_until = now.after(record.cold);
                 state.record = record;
                 return;
@@ -265,12 +267,12 @@
     /// Applies a notice from the endpoint of `place`. Returns whether it announces a shutdown that
     /// was not known.
     pub(crate) fn note(&mut self, now: Moment, place: &Place, notice: Notice) -> bool {
-        let is_news = self.notices.note(now, place.key, notice);
+        let is_new = self.notices.note(now, place.key, notice);
         let noted = self.notices.get(place.key);
         if let Some(state) = self.reserved_state(place) {
             state.noted = noted;
         }
-        is_news
+        is_new
     }
 
     /// Marks endpoints that peers report as leaving. Returns those that were not known to be.
@@ -297,7 +299,7 @@
     }
 
     /// Records a request refused although an engine may have its prefix cached.
-    pub(crate) fn note_wanted(&mut self, now: Moment, prompt: &Prompt) {
+    pub(crate) fn note_refused_prefix(&mut self, now: Moment, prompt: &Prompt) {
         if let Some(anchor) = prompt.anchor() {
             self.refused
                 .entry(anchor)
@@ -307,7 +309,7 @@
     }
 
     /// Whether refused requests with this prefix are so many that another engine should read it.
-    pub(crate) fn is_wanted(&self, now: Moment, prompt: &Prompt) -> bool {
+    pub(crate) fn should_replicate(&self, now: Moment, prompt: &Prompt) -> bool {
         let refused = prompt.anchor().and_then(|a| self.refused.get(&a));
         refused.is_some_and(|w| w.get(now, REFUSED_TIME_CONSTANT) >= REPLICATE_THRESHOLD)
     }
@@ -318,22 +320,22 @@
     }
 
     /// Records cached parts that peers advertised.
-    pub(crate) fn hear_residents(&mut self, now: Moment, residents: &[Resident]) {
+    pub(crate) fn record_peer_residents(&mut self, now: Moment, residents: &[Resident]) {
         for resident in residents {
             if let Some(state) = self.by_key(resident.endpoint) {
-                state.note_peer_part(now, resident.part);
+                state.record_peer_part(now, resident.part);
             }
         }
     }
 
     /// Leaving endpoints to report to peers, by [`EndpointState::key`].
     pub(crate) fn leaving(&self, now: Moment) -> Vec<u32> {
-        self.notices.told(now)
+        self.notices.announced(now)
     }
 
     /// Earliest time at which an endpoint of a service takes requests: `now` if one does already,
     /// `None` if none will.
-    pub(crate) fn opens(
+    pub(crate) fn available_from(
         &self,
         now: Moment,
         service: &ServiceName,
@@ -344,11 +346,11 @@
         let fit = states.filter(|(i, s)| !s.is_leaving() && is_allowed(*i, &s.record));
         let mut first = None;
         for (_, state) in fit {
-            let opens = state.noted.rests_until.max(now);
-            if opens == now {
+            let available_from = state.noted.rests_until.max(now);
+            if available_from == now {
                 return Some(now);
             }
-            first = Some(first.map_or(opens, |f| opens.min(f)));
+            first = Some(first.map_or(available_from, |f| available_from.min(f)));
         }
         first
     }
@@ -395,7 +397,9 @@
     ) -> Result<EndpointIndex, PlacementError> {
         let indices = self.services.get(service).map_or(&[][..], Vec::as_slice);
         let anchor = prompt.and_then(Prompt::anchor);
-        let homes = anchor.map_or(Homes::default(), |a| self.homes(now, indices, a));
+        let preferred = anchor.map_or(PreferredEndpoints::default(), |a| {
+            self.preferred(now, indices, a)
+        });
         let is_usable = |(index, state): &(EndpointIndex, &EndpointState)| {
             state.is_usable(now) && is_allowed(*index, &state.record)
         };
@@ -406,7 +410,8 @@
         if usable.is_empty() {
             return Err(PlacementError::NoEndpoint);
         }
-        // Requests wait for an engine with their prefix cached; an uncached one is read at a home.
+        // Requests wait for an engine with their prefix cached; an uncached one is read at a
+        // preferred endpoint.
         let is_cached = usable
             .iter()
             .any(|(_, _, uncached)| *uncached < MIN_PREFIX_TOKENS);
@@ -417,15 +422,17 @@
         // Endpoints with a high failure rate are used only if no other has room.
         let mut best: Option<(bool, f64, EndpointIndex)> = None;
         for (index, state, uncached) in usable {
-            let home = homes.of(index);
+            let preference = preferred.of(index);
             let needs_prefill = uncached >= MIN_PREFIX_TOKENS;
             let cost = match prompt {
                 Some(_) if !has_capacity(state, rules) => None,
-                Some(_) if needs_prefill && !may_prefill(state, rules, home, is_cached) => None,
+                Some(_) if needs_prefill && !may_prefill(state, rules, preference, is_cached) => {
+                    None
+                }
                 Some(prompt) => engine_cost(state, prompt, uncached, rules),
                 None => plain_cost(state),
             };
-            let Some(mut cost) = cost.filter(|_| state.allows_send(now, rules.cold_share)) else {
+            let Some(mut cost) = cost.filter(|_| state.allows_send(now, rules.cold_quota)) else {
                 continue;
             };
             if state.record.centre != rules.centre {
@@ -456,7 +463,7 @@
         };
         let mut parts = Vec::new();
         if let Some(prompt) = prompt {
-            load.waiting = prompt.own() + state.uncached_tokens(now, prompt);
+            load.unread_tokens = prompt.own() + state.uncached_tokens(now, prompt);
             load.memory = state.memory(prompt);
             for part in prompt.shared() {
                 if state.use_part(now, *part) {
@@ -469,7 +476,7 @@
                 parts.push(part.id);
             }
         }
-        let ahead = state.total().waiting + load.waiting;
+        let ahead = state.total().unread_tokens + load.unread_tokens;
         state.own += load;
         state.last_sent = now;
         if state.is_cold(now) {
@@ -497,11 +504,11 @@
         let Some(state) = self.reserved_state(place) else {
             return;
         };
-        state.own.waiting = (state.own.waiting - place.load.waiting).max(0.0);
+        state.own.unread_tokens = (state.own.unread_tokens - place.load.unread_tokens).max(0.0);
         if place.ahead >= MIN_PACE_TOKENS {
             let measured = now.since(place.sent).as_secs_f64() * 1e3 / place.ahead;
             let measured = measured.clamp(PACE_BOUNDS_MS.0, PACE_BOUNDS_MS.1);
-            state.pace += PACE_WEIGHT * (measured - state.pace);
+            state.prefill_pace += PACE_WEIGHT * (measured - state.prefill_pace);
         }
     }
 
@@ -531,12 +538,12 @@
         }
         state.own.memory = (state.own.memory - place.load.memory).max(0.0);
         if !place.has_begun {
-            state.own.waiting = (state.own.waiting - place.load.waiting).max(0.0);
+            state.own.unread_tokens = (state.own.unread_tokens - place.load.unread_tokens).max(0.0);
         }
         for part in &place.parts {
-            if let Some(kept) = state.parts.get_mut(part) {
-                kept.users = kept.users.saturating_sub(1);
-                kept.used = now;
+            if let Some(cached) = state.parts.get_mut(part) {
+                cached.users = cached.users.saturating_sub(1);
+                cached.used = now;
             }
         }
         match end {
@@ -555,7 +562,7 @@
     }
 
     /// Drops expired parts, notices and counts.
-    pub(crate) fn forget_parts(&mut self, now: Moment) {
+    pub(crate) fn remove_expired(&mut self, now: Moment) {
         self.notices.forget(now);
         self.refused
             .retain(|_, w| w.get(now, REFUSED_TIME_CONSTANT) >= MIN_REFUSED_COUNT);
@@ -570,7 +577,7 @@
     }
 
     /// Preferred endpoints for `anchor` by rendezvous hashing, the same at all instances.
-    fn homes(&self, now: Moment, indices: &[EndpointIndex], anchor: u64) -> Homes {
+    fn preferred(&self, now: Moment, indices: &[EndpointIndex], anchor: u64) -> PreferredEndpoints {
         let states = indices.iter().filter_map(|i| Some((*i, self.get(*i)?)));
         let usable = states.filter(|(_, s)| s.is_usable(now));
         let mut first = (0, None);
@@ -585,7 +592,7 @@
                 second = (weight, Some(index));
             }
         }
-        Homes {
+        PreferredEndpoints {
             first: first.1,
             second: second.1,
         }
@@ -602,18 +609,23 @@
 }
 
 /// Whether a request may go to an engine that does not have its shared prefix cached. An uncached
-/// prefix is read at its first home, or at its second home if that is nearly idle. A prefix that is
-/// cached elsewhere is read again only by a nearly idle engine, and only if that cache cannot meet
-/// demand or for an interrupted stream: under load, engine time serves more requests with a cached
-/// prefix.
-fn may_prefill(state: &EndpointState, rules: &PlacementRules, home: Home, is_cached: bool) -> bool {
+/// prefix is read at its first preferred endpoint, or at its second if that is nearly idle. A
+/// prefix that is cached elsewhere is read again only by a nearly idle engine, and only if that
+/// cache cannot meet demand or for an interrupted stream: under load, engine time serves more
+/// requests with a cached prefix.
+fn may_prefill(
+    state: &EndpointState,
+    rules: &PlacementRules,
+    preference: Preference,
+    is_cached: bool,
+) -> bool {
     let load = state.total();
-    let is_home = !is_cached && !home.is_none();
-    if is_home && home.is_first() {
+    let is_preferred = !is_cached && !preference.is_none();
+    if is_preferred && preference.is_first() {
         return true;
     }
-    (!rules.kept_only || is_home)
-        && load.waiting * state.pace < REREAD_MAX_QUEUE_MS
+    (!rules.cached_only || is_preferred)
+        && load.unread_tokens * state.prefill_pace < REREAD_MAX_QUEUE_MS
         && load.token_time < rules.token_time * REREAD_TOKEN_TIME_FRACTION
 }
 
@@ -635,13 +647,13 @@
     if output_time > rules.left.as_secs_f64() * 1e3 * OUTPUT_FRACTION {
         return None;
     }
-    let own = (prompt.own() + uncached) * state.pace;
-    let wait = load.waiting * state.pace;
+    let own = (prompt.own() + uncached) * state.prefill_pace;
+    let wait = load.unread_tokens * state.prefill_pace;
     let limit = (rules.objective.as_secs_f64() * 1e3 * QUEUE_FRACTION).min(MAX_QUEUE_MS);
-    if load.waiting > 0.0 && wait > limit - own.min(limit * MAX_OWN_FRACTION) {
+    if load.unread_tokens > 0.0 && wait > limit - own.min(limit * MAX_OWN_FRACTION) {
         return None;
     }
-    let reread = uncached * state.pace * (REREAD_WEIGHT - 1.0);
+    let reread = uncached * state.prefill_pace * (REREAD_WEIGHT - 1.0);
     Some(wait + own + reread + f64::from(load.running) * RUNNING_COST_MS)
 }
 
--- a/cornelstand/src/gateway/tests/heavy_load.rs
+++ b/cornelstand/src/gateway/tests/heavy_load.rs
@@ -1,7 +1,7 @@
 //! Simulations of heavy load against engines modelled on the users' data sheets: a step takes
 //! 3.79 ms plus 0.09 ms per running request, prompts are read at 56.6 tokens per millisecond in
 //! chunks of 2,048 between steps, and requests are admitted in order of arrival. Time is simulated;
-//! the instances exchange beats every 40 ms, as they do on the network.
+//! the instances exchange heartbeats every 40 ms, as they do on the network.
 
 #![expect(
     clippy::cast_possible_truncation,
@@ -35,7 +35,7 @@
 const ENGINES: usize = 6;
 const INSTANCES: usize = 3;
 const SECONDS: u64 = 16;
-const BEAT_MS: u64 = 40;
+const HEARTBEAT_MS: u64 = 40;
 const TICK_MS: u64 = 8;
 
 /// Kinds of requests, as on the data sheet of the counters.
@@ -307,9 +307,10 @@
                 let prompt = Some(job.prompt.clone());
                 let queued =
                     Waiting::new(gate.now(), account, service, route, prompt, route.timeout);
-                let gives_up = now + queued.gives_up.since(gate.now()).as_millis() as u64;
+                let queue_deadline =
+                    now + queued.queue_deadline.since(gate.now()).as_millis() as u64;
                 match gate.enqueue(queued, &[]) {
-                    Ok(ticket) => waiting.push((next, ticket, gives_up)),
+                    Ok(ticket) => waiting.push((next, ticket, queue_deadline)),
                     Err(_) => outcomes[next].refused = Some(now),
                 }
             }
@@ -320,28 +321,28 @@
                 gate.serve_queue();
             }
         }
-        if now % BEAT_MS == 0 {
-            let beats: Vec<_> = gates.iter().map(|g| g.beat()).collect();
+        if now % HEARTBEAT_MS == 0 {
+            let heartbeats: Vec<_> = gates.iter().map(|g| g.heartbeat()).collect();
             for (i, gate) in gates.iter().enumerate() {
-                for (k, beat) in beats.iter().enumerate().filter(|(k, _)| *k != i) {
+                for (k, heartbeat) in heartbeats.iter().enumerate().filter(|(k, _)| *k != i) {
                     let address = ([10, 0, 1, k as u8], 7_400).into();
-                    let mut beat = beat.clone();
+                    let mut heartbeat = heartbeat.clone();
                     if policy == Policy::NoAdvertisements {
-                        beat.news.residents.clear();
+                        heartbeat.updates.residents.clear();
                     }
-                    gate.hear(address, beat);
+                    gate.receive_heartbeat(address, heartbeat);
                 }
-                gate.count_peers();
+                gate.apply_peer_state();
                 gate.serve_queue();
             }
         }
-        waiting.retain_mut(|(job, ticket, gives_up)| {
+        waiting.retain_mut(|(job, ticket, queue_deadline)| {
             if let Ok(place) = ticket.grant.try_recv() {
                 engines[place.index].admit(*job, &jobs[*job].prompt, &mut seen);
                 places.insert(*job, (place, jobs[*job].instance));
                 return false;
             }
-            if now >= *gives_up {
+            if now >= *queue_deadline {
                 gates[jobs[*job].instance].withdraw(ticket.id);
                 outcomes[*job].refused = Some(now);
                 return false;
