--- a/cornelstand/src/gossip.rs
+++ b/cornelstand/src/gossip.rs
@@ -1,7 +1,7 @@
-//! Messages of the gossip between instances.
+//! Gossip messages between instances.
 //!
 //! Every list in a message is bounded, so the traffic of an instance does not grow with the
-//! fleet. What does not fit goes with a later message.
+//! fleet. Entries that do not fit go into a later message.
 
 use std::net::SocketAddr;
 
@@ -12,28 +12,28 @@
 use crate::name::{CellId, CentreName, Epoch, Incarnation, InstanceName, Revision};
 use crate::timeline::Stamp;
 
-/// Most members in one message.
+/// Maximum members per message.
 pub const GOSSIP_MEMBERS: usize = 36;
 
-/// Most cells in one message.
+/// Maximum cells per message.
 pub const GOSSIP_CELLS: usize = 8;
 
-/// Most bytes of extensions in one message.
+/// Maximum bytes of extensions per message.
 pub const GOSSIP_EXTRA: usize = 2048;
 
-/// One message of the gossip, request or reply.
+/// A gossip message, request or reply.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct Gossip {
     /// The sender.
     pub from: Member,
-    /// Time at the sender in the order of the fleet.
+    /// Hybrid logical time at the sender.
     pub stamp: Stamp,
     /// Highest accepted revision that the sender knows of.
     pub known: Revision,
     /// Number of members that the sender knows of.
     pub size: u32,
-    /// News and a part of what the sender knows of members.
+    /// Recent changes and a slice of the member table.
     pub members: Vec<Member>,
     /// Owners of cells.
     pub cells: Vec<CellClaim>,
@@ -41,7 +41,7 @@
     pub extra: Vec<Extension>,
 }
 
-/// What is known of a member.
+/// Membership record.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct Member {
@@ -53,11 +53,11 @@
     pub centre: CentreName,
     /// Start of its process.
     pub incarnation: Incarnation,
-    /// Counts what the member has told of itself.
+    /// Version, raised by the member itself.
     pub count: u32,
     /// Its state.
     pub state: MemberState,
-    /// Revision that it has in force.
+    /// Revision in force there.
     pub revision: Revision,
 }
 
@@ -73,19 +73,19 @@
     /// It answers and is about to stop.
     #[display("leaving")]
     Leaving,
-    /// It did not answer, and may still do so.
+    /// It missed replies and may still refute.
     #[display("suspect")]
     Suspect,
-    /// It did not answer for long.
+    /// It did not refute in time.
     #[display("dead")]
     Dead,
-    /// It has stopped, as it said itself.
+    /// It has stopped and announced it.
     #[display("left")]
     Left,
 }
 
 impl MemberState {
-    /// Whether the member takes part no more.
+    /// Whether the member is dead or left.
     #[must_use]
     pub fn has_ended(self) -> bool {
         matches!(self, Self::Dead | Self::Left)
@@ -93,10 +93,9 @@
 }
 
 impl Member {
-    /// Whether this tells more than `other` about the same instance.
+    /// Whether this supersedes `other` for the same instance.
     ///
-    /// A later process goes first, then what the member said of itself later, then the worse
-    /// state.
+    /// Orders by incarnation, then `Left`, then the member's own count, then the worse state.
     #[must_use]
     pub fn is_newer(&self, other: &Self) -> bool {
         let order = |m: &Self| (m.incarnation, m.state.is_left(), m.count, m.state);
@@ -104,7 +103,7 @@
     }
 }
 
-/// Who acts as owner of a cell.
+/// Claimed owner of a cell.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct CellClaim {
@@ -112,7 +111,7 @@
     pub cell: CellId,
     /// Epoch of the owner.
     pub epoch: Epoch,
-    /// Counts what the owner has told of the cell in this epoch.
+    /// Version of the claim within the epoch.
     pub count: u32,
     /// The owner.
     pub owner: InstanceName,
@@ -120,7 +119,7 @@
     pub delay: u32,
 }
 
-/// Item of another module, carried from peer to peer without being passed on.
+/// Item of another module, sent to direct peers and not forwarded.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct Extension {
@@ -142,7 +141,7 @@
     Suspects,
 }
 
-/// An instance of the platform's list or the settings.
+/// A peer from the platform's list or the settings.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct Seed {
@@ -150,7 +149,7 @@
     pub name: Option<InstanceName>,
     /// Address for its peers.
     pub address: SocketAddr,
-    /// Whether the platform is about to take it away.
+    /// Whether the platform is about to remove it.
     #[serde(default)]
     pub leaving: bool,
 }
