--- a/cornelstand/src/member.rs
+++ b/cornelstand/src/member.rs
@@ -1,11 +1,10 @@
-//! Membership of the fleet by gossip.
+//! Gossip membership of the fleet.
 //!
-//! Each second an instance exchanges bounded messages with a few random peers. News goes first,
-//! each piece a number of times that grows with the logarithm of the fleet; the rest of a message
-//! walks over everything known, which repairs what got lost. A peer that does not answer turns
-//! suspect and, unless it refutes that in time, dead. The platform's instance list lags, so it only
-//! gives addresses to try and, once an instance is missing from it for long, the proof that
-//! its process has ended.
+//! Each second an instance exchanges bounded messages with a few random peers. Changes go first,
+//! each sent a number of times that grows with the logarithm of the fleet size; the rest of a
+//! message cycles through the full table, which repairs lost updates. A peer that does not answer
+//! becomes suspect and, unless it refutes in time, dead. The platform's instance list lags, so it
+//! only supplies addresses to try and, after a long absence, the proof that a process has ended.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
@@ -27,25 +26,25 @@
 use crate::name::{CellId, Epoch, Incarnation, InstanceName, Revision};
 use crate::timeline::Stamp;
 
-/// Peers that an instance starts an exchange with in each period.
+/// Exchanges that an instance starts in each period.
 const FANOUT: usize = 2;
 
-/// Exchanges in a row that a member leaves without reply until it is suspect.
-const MISSES: u32 = 2;
+/// Consecutive unanswered exchanges after which a member is suspect.
+const MISSES_TO_SUSPECT: u32 = 2;
 
-/// Members that did not reply and are asked again in each period.
-const ASKED_AGAIN: usize = 2;
+/// Unresponsive members contacted again in each period.
+const RETRIED_MEMBERS: usize = 2;
 
-/// Entries of the walk over everything known in one message.
-const WALK: usize = 3;
+/// Entries of the full table in each message.
+const SYNC_ENTRIES: usize = 3;
 
-/// Times that a piece of news is told, per binary digit of the number of members.
-const TELLINGS: u32 = 2;
+/// Times that a change is sent, per binary digit of the number of members.
+const RETRANSMIT_FACTOR: u32 = 2;
 
-/// Chance, one in so many periods, to try an address where no live member is known.
-const SEED_CHANCE: u32 = 5;
+/// One in this many periods, on average, a seed or a dead member is tried.
+const SEED_ODDS: u32 = 5;
 
-/// Durations of the membership.
+/// Membership timing.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct MemberTiming {
     /// Time between two rounds of exchanges.
@@ -54,8 +53,8 @@
     pub suspicion: Duration,
     /// Longest lag of the platform's instance list.
     pub lag: Duration,
-    /// Time after which a dead member is forgotten.
-    pub memory: Duration,
+    /// Time after which a dead member is removed.
+    pub retention: Duration,
 }
 
 impl Default for MemberTiming {
@@ -64,7 +63,7 @@
             period: Duration::from_secs(1),
             suspicion: Duration::from_secs(4),
             lag: Duration::from_secs(10),
-            memory: Duration::from_mins(10),
+            retention: Duration::from_mins(10),
         }
     }
 }
@@ -75,27 +74,27 @@
     me: Member,
     timing: MemberTiming,
     rng: ChaCha8Rng,
-    table: BTreeMap<InstanceName, Known>,
-    cells: BTreeMap<CellId, Told<CellClaim>>,
+    table: BTreeMap<InstanceName, Record>,
+    cells: BTreeMap<CellId, Broadcast<CellClaim>>,
     known: Revision,
     generation: u64,
     seeds: Vec<Seed>,
     listed: Listed,
     extra: Vec<Extension>,
-    walk: Option<InstanceName>,
-    cell_walk: Option<CellId>,
+    member_cursor: Option<InstanceName>,
+    cell_cursor: Option<CellId>,
 }
 
 #[derive(Clone, Debug)]
-struct Known {
+struct Record {
     member: Member,
-    /// Exchanges in a row that it did not answer.
+    /// Consecutive unanswered exchanges.
     misses: u32,
     since: Moment,
-    tellings: u32,
+    retransmits: u32,
 }
 
-/// When the platform's list was read, and when it last had each name.
+/// When the platform's list was read and last contained each name.
 #[derive(Clone, Debug, Default)]
 struct Listed {
     first: Option<Moment>,
@@ -104,14 +103,14 @@
 }
 
 impl Listed {
-    fn take_in(&mut self, now: Moment, seeds: &[Seed]) {
+    fn record(&mut self, now: Moment, seeds: &[Seed]) {
         self.first = self.first.or(Some(now));
         self.last = now;
         let names = seeds.iter().filter_map(|s| s.name.clone());
         self.names.extend(names.map(|name| (name, now)));
     }
 
-    /// For how long the lists that were read have been without `name`.
+    /// Time since the lists that were read last contained `name`.
     fn absence(&self, name: &InstanceName) -> Option<Duration> {
         let first = self.first?;
         let since = self.names.get(name).copied().unwrap_or(first);
@@ -126,8 +125,8 @@
     }
 }
 
-impl Known {
-    /// Whether it has to be asked again, because it did not reply or others say so.
+impl Record {
+    /// Whether it is contacted again: it missed a reply or is suspect.
     fn is_silent(&self) -> bool {
         let is_missed = self.misses > 0 && self.member.state.is_live();
         self.member.state.is_suspect() || is_missed
@@ -135,13 +134,13 @@
 }
 
 #[derive(Clone, Debug)]
-struct Told<T> {
+struct Broadcast<T> {
     item: T,
-    tellings: u32,
+    retransmits: u32,
 }
 
 impl Members {
-    /// A membership with `me` alone. `seed` feeds the choice of peers.
+    /// A membership of `me` alone. `seed` seeds the choice of peers.
     #[must_use]
     pub fn new(me: Member, timing: MemberTiming, seed: u64) -> Self {
         Self {
@@ -155,28 +154,28 @@
             seeds: Vec::new(),
             listed: Listed::default(),
             extra: Vec::new(),
-            walk: None,
-            cell_walk: None,
+            member_cursor: None,
+            cell_cursor: None,
         }
     }
 
-    /// Takes in `input` and adds what follows to `out`.
+    /// Handles `input` and appends outputs to `out`.
     pub fn handle(&mut self, now: Moment, input: MemberInput, out: &mut Vec<MemberOutput>) {
         let before = out.len();
         match input {
             MemberInput::Tick { stamp } => self.tick(now, stamp, out),
             MemberInput::Received { gossip, stamp } => {
                 let (peer, size) = (gossip.from.address, gossip.size);
-                self.take_in(now, *gossip, out);
+                self.merge_gossip(now, *gossip, out);
                 let mut reply = self.message(stamp, peer);
                 if size < self.size() {
                     self.fill(&mut reply.members);
                 }
                 out.push(MemberOutput::Reply(Box::new(reply)));
             }
-            MemberInput::Answered(gossip) => self.take_in(now, *gossip, out),
-            MemberInput::Silent(address) => self.suspect(now, address, out),
-            MemberInput::Seeds { seeds, is_complete } => self.list(now, seeds, is_complete),
+            MemberInput::Answered(gossip) => self.merge_gossip(now, *gossip, out),
+            MemberInput::NoReply(address) => self.record_miss(now, address, out),
+            MemberInput::Seeds { seeds, is_complete } => self.update_seeds(now, seeds, is_complete),
             MemberInput::Claim { cell, epoch, delay } => self.claim(cell, epoch, delay, out),
             MemberInput::InForce(revision) => {
                 self.me.revision = revision;
@@ -185,20 +184,20 @@
             }
             MemberInput::Known(revision) => self.known = self.known.max(revision),
             MemberInput::Extend(items) => self.extra = bounded(items),
-            MemberInput::Leave => self.say(MemberState::Leaving),
-            MemberInput::Left => self.say(MemberState::Left),
+            MemberInput::Leave => self.announce(MemberState::Leaving),
+            MemberInput::Left => self.announce(MemberState::Left),
         }
         let is_change = |o: &MemberOutput| matches!(o, MemberOutput::Changed(_));
         self.generation += u64::from(out[before..].iter().any(is_change));
     }
 
-    /// Rises whenever a member or the proof of its end changes.
+    /// Incremented when a member or a proof of end changes.
     #[must_use]
     pub fn generation(&self) -> u64 {
         self.generation
     }
 
-    /// The durations.
+    /// The timing.
     #[must_use]
     pub fn timing(&self) -> &MemberTiming {
         &self.timing
@@ -215,7 +214,7 @@
         std::iter::once(&self.me).chain(self.table.values().map(|k| &k.member))
     }
 
-    /// Members that answer, this instance included unless it leaves.
+    /// Live and suspect members, this instance included if live.
     pub fn live(&self) -> impl Iterator<Item = &Member> {
         self.all()
             .filter(|m| matches!(m.state, MemberState::Live | MemberState::Suspect))
@@ -230,7 +229,7 @@
         self.table.get(name).map(|k| &k.member)
     }
 
-    /// Who acts as owner of `cell`.
+    /// Claimed owner of `cell`.
     #[must_use]
     pub fn owner(&self, cell: &CellId) -> Option<&CellClaim> {
         self.cells.get(cell).map(|t| &t.item)
@@ -247,7 +246,7 @@
         self.known
     }
 
-    /// Members that do not have `revision` or a later one in force, of those that should.
+    /// Running members that have neither `revision` nor a later one in force.
     pub fn behind(&self, revision: Revision) -> impl Iterator<Item = &Member> {
         let is_running = |m: &&Member| !matches!(m.state, MemberState::Dead | MemberState::Left);
         self.all()
@@ -264,7 +263,7 @@
         ranked.into_iter().take(count).map(|(_, m)| m).collect()
     }
 
-    /// What the lease machine of `cell` has to know.
+    /// Input of the lease state machine of `cell`.
     #[must_use]
     pub fn lease_view(&self, cell: &CellId, config: &Config, lease: Option<&Lease>) -> LeaseView {
         let key = cell.to_string();
@@ -290,8 +289,8 @@
         })
     }
 
-    /// Tells whether the process has certainly ended: a later one has its name, it said so
-    /// itself, or the platform has not listed it for longer than its list may lag.
+    /// Whether the process is proved to have ended: a later one has its name, it announced its
+    /// end, or the platform has not listed it for longer than its list may lag.
     #[must_use]
     pub fn is_gone(&self, name: &InstanceName, incarnation: Incarnation) -> bool {
         let known = self.get(name);
@@ -302,7 +301,7 @@
         is_replaced || has_left || (absence >= self.timing.lag && !is_live)
     }
 
-    fn say(&mut self, state: MemberState) {
+    fn announce(&mut self, state: MemberState) {
         self.me.state = self.me.state.max(state);
         self.generation += 1;
         self.me.count += 1;
@@ -318,7 +317,7 @@
         }
     }
 
-    /// Addresses for this round: random members, and at times one where none is known.
+    /// Peers for this round: random members and, at times, a seed or a dead member.
     fn peers(&mut self) -> Vec<SocketAddr> {
         let running = self.table.values().filter(|k| {
             let state = k.member.state;
@@ -328,67 +327,67 @@
         let mut peers: Vec<SocketAddr> = running.sample(&mut self.rng, FANOUT).copied().collect();
         let silent = self.table.values().filter(|k| k.is_silent());
         let silent = silent.map(|k| k.member.address);
-        peers.extend(silent.sample(&mut self.rng, ASKED_AGAIN));
+        peers.extend(silent.sample(&mut self.rng, RETRIED_MEMBERS));
         peers.sort_unstable();
         peers.dedup();
         let is_own = |a: &SocketAddr| *a == self.me.address;
         let dead = self.table.values().filter(|k| k.member.state.is_dead());
         let dead = dead.map(|k| k.member.address);
         let seeds = self.seeds.iter().map(|s| s.address);
-        let strange = seeds
+        let candidate = seeds
             .chain(dead)
             .filter(|a| !is_own(a) && !running.contains(a))
             .choose(&mut self.rng);
-        let is_due = running.is_empty() || self.rng.random_ratio(1, SEED_CHANCE);
-        peers.extend(strange.filter(|_| is_due));
+        let is_due = running.is_empty() || self.rng.random_ratio(1, SEED_ODDS);
+        peers.extend(candidate.filter(|_| is_due));
         peers
     }
 
-    /// Turns suspects that did not refute into dead members and forgets old dead ones.
+    /// Marks suspects dead that did not refute in time and removes old dead members.
     fn expire(&mut self, now: Moment, out: &mut Vec<MemberOutput>) {
-        let (suspicion, memory) = (self.timing.suspicion, self.timing.memory);
-        let tellings = self.tellings();
+        let (suspicion, retention) = (self.timing.suspicion, self.timing.retention);
+        let retransmits = self.retransmit_limit();
         for known in self.table.values_mut() {
             if known.member.state.is_suspect() && now >= known.since.after(suspicion) {
                 known.member.state = MemberState::Dead;
                 known.since = now;
-                known.tellings = tellings;
+                known.retransmits = retransmits;
                 out.push(MemberOutput::Changed(known.member.clone()));
             }
         }
-        if let Some(before) = now.0.checked_sub(micros(memory)) {
+        if let Some(before) = now.0.checked_sub(micros(retention)) {
             self.listed.forget(Moment(before));
         }
         self.table.retain(|_, known| {
-            let is_over = matches!(known.member.state, MemberState::Dead | MemberState::Left);
-            !is_over || now < known.since.after(memory)
+            let has_ended = matches!(known.member.state, MemberState::Dead | MemberState::Left);
+            !has_ended || now < known.since.after(retention)
         });
     }
 
-    fn tellings(&self) -> u32 {
-        TELLINGS * (usize::BITS - self.table.len().leading_zeros()).max(2)
+    fn retransmit_limit(&self) -> u32 {
+        RETRANSMIT_FACTOR * (usize::BITS - self.table.len().leading_zeros()).max(2)
     }
 
-    fn suspect(&mut self, now: Moment, address: SocketAddr, out: &mut Vec<MemberOutput>) {
-        let tellings = self.tellings();
+    fn record_miss(&mut self, now: Moment, address: SocketAddr, out: &mut Vec<MemberOutput>) {
+        let retransmits = self.retransmit_limit();
         let known = self
             .table
             .values_mut()
             .find(|k| k.member.address == address);
         let Some(known) = known else { return };
         known.misses += 1;
-        let is_well = matches!(known.member.state, MemberState::Live | MemberState::Leaving);
-        if is_well && known.misses >= MISSES {
+        let is_healthy = matches!(known.member.state, MemberState::Live | MemberState::Leaving);
+        if is_healthy && known.misses >= MISSES_TO_SUSPECT {
             known.member.state = MemberState::Suspect;
             known.since = now;
-            known.tellings = tellings;
+            known.retransmits = retransmits;
             out.push(MemberOutput::Changed(known.member.clone()));
         }
     }
 
-    fn take_in(&mut self, now: Moment, gossip: Gossip, out: &mut Vec<MemberOutput>) {
+    fn merge_gossip(&mut self, now: Moment, gossip: Gossip, out: &mut Vec<MemberOutput>) {
         let peer = gossip.from.name.clone();
-        self.heard(&gossip.from);
+        self.reset_misses(&gossip.from);
         self.merge(now, gossip.from, out);
         for member in gossip.members.into_iter().take(GOSSIP_MEMBERS) {
             self.merge(now, member, out);
@@ -408,8 +407,7 @@
         }
     }
 
-    /// Notes that a peer was heard.
-    fn heard(&mut self, peer: &Member) {
+    fn reset_misses(&mut self, peer: &Member) {
         if let Some(known) = self.table.get_mut(&peer.name) {
             known.misses = 0;
         }
@@ -420,7 +418,7 @@
             self.refute(&member, out);
             return;
         }
-        let tellings = self.tellings();
+        let retransmits = self.retransmit_limit();
         let old = self.table.get(&member.name).map(|k| &k.member);
         if old.is_some_and(|o| !member.is_newer(o)) {
             return;
@@ -432,26 +430,29 @@
         out.push(if is_change {
             MemberOutput::Changed(member.clone())
         } else {
-            MemberOutput::Told(member.clone())
+            MemberOutput::Updated(member.clone())
         });
-        let old = self.table.get(&member.name).map(|k| (k.since, k.tellings));
-        let (since, tellings) = old.filter(|_| !is_change).unwrap_or((now, tellings));
+        let old = self
+            .table
+            .get(&member.name)
+            .map(|k| (k.since, k.retransmits));
+        let (since, retransmits) = old.filter(|_| !is_change).unwrap_or((now, retransmits));
         let name = member.name.clone();
-        let known = Known {
+        let known = Record {
             member,
             misses: 0,
             since,
-            tellings,
+            retransmits,
         };
         self.table.insert(name, known);
     }
 
-    /// Answers what others say about this instance.
-    fn refute(&mut self, told: &Member, out: &mut Vec<MemberOutput>) {
-        if told.incarnation > self.me.incarnation {
-            out.push(MemberOutput::Displaced(told.incarnation));
-        } else if told.is_newer(&self.me) {
-            self.me.count = told.count + 1;
+    /// Refutes wrong records of this instance.
+    fn refute(&mut self, received: &Member, out: &mut Vec<MemberOutput>) {
+        if received.incarnation > self.me.incarnation {
+            out.push(MemberOutput::Displaced(received.incarnation));
+        } else if received.is_newer(&self.me) {
+            self.me.count = received.count + 1;
         }
     }
 
@@ -461,14 +462,14 @@
         if old.is_some_and(|o| order(&o.item) >= order(&claim)) {
             return;
         }
-        let tellings = self.tellings();
+        let retransmits = self.retransmit_limit();
         out.push(MemberOutput::Cell(claim.clone()));
         let cell = claim.cell.clone();
         self.cells.insert(
             cell,
-            Told {
+            Broadcast {
                 item: claim,
-                tellings,
+                retransmits,
             },
         );
     }
@@ -487,9 +488,9 @@
         self.merge_claim(claim, out);
     }
 
-    fn list(&mut self, now: Moment, seeds: Vec<Seed>, is_complete: bool) {
+    fn update_seeds(&mut self, now: Moment, seeds: Vec<Seed>, is_complete: bool) {
         if is_complete {
-            self.listed.take_in(now, &seeds);
+            self.listed.record(now, &seeds);
             self.generation += 1;
         }
         if !seeds.is_empty() {
@@ -503,43 +504,46 @@
             stamp,
             known: self.known,
             size: self.size(),
-            members: self.news(to),
-            cells: self.cell_news(),
+            members: self.member_updates(to),
+            cells: self.cell_updates(),
             extra: self.extra.clone(),
         }
     }
 
-    /// News of members, and the next few of the walk over all of them.
+    /// Changed members, and the next few of the full table.
     ///
-    /// What is held against the receiver goes first, so that it can refute with its reply.
-    fn news(&mut self, to: SocketAddr) -> Vec<Member> {
-        let is_accused = |m: &&Member| m.address == to && !m.state.is_live();
+    /// A non-live record of the receiver goes first, so that its reply can refute it.
+    fn member_updates(&mut self, to: SocketAddr) -> Vec<Member> {
+        let is_not_live = |m: &&Member| m.address == to && !m.state.is_live();
         let all = self.table.values().map(|k| &k.member);
-        let mut members: Vec<Member> = all.filter(is_accused).take(1).cloned().collect();
-        let mut news: Vec<&mut Known> =
-            self.table.values_mut().filter(|k| k.tellings > 0).collect();
-        news.sort_by_key(|k| std::cmp::Reverse(k.tellings));
-        for known in news.into_iter().take(GOSSIP_MEMBERS - WALK - 1) {
-            known.tellings -= 1;
+        let mut members: Vec<Member> = all.filter(is_not_live).take(1).cloned().collect();
+        let mut changed: Vec<&mut Record> = self
+            .table
+            .values_mut()
+            .filter(|k| k.retransmits > 0)
+            .collect();
+        changed.sort_by_key(|k| std::cmp::Reverse(k.retransmits));
+        for known in changed.into_iter().take(GOSSIP_MEMBERS - SYNC_ENTRIES - 1) {
+            known.retransmits -= 1;
             members.push(known.member.clone());
         }
-        self.walk_on(&mut members, WALK);
+        self.add_next(&mut members, SYNC_ENTRIES);
         members
     }
 
-    /// Fills a message to a peer that knows of fewer members with more of the walk.
+    /// Fills a reply to a peer that knows fewer members with more of the table.
     fn fill(&mut self, members: &mut Vec<Member>) {
         let room = GOSSIP_MEMBERS.saturating_sub(members.len());
-        self.walk_on(members, room);
+        self.add_next(members, room);
     }
 
-    /// Adds the next members of the walk, starting anew after the last.
-    fn walk_on(&mut self, members: &mut Vec<Member>, count: usize) {
-        let after = self.walk.take();
+    /// Adds the next members of the table, restarting after the last.
+    fn add_next(&mut self, members: &mut Vec<Member>, count: usize) {
+        let after = self.member_cursor.take();
         let later = self.table.iter();
         let later = later.filter(|(name, _)| after.as_ref().is_none_or(|a| *name > a));
         for (name, known) in later.take(count) {
-            self.walk = Some(name.clone());
+            self.member_cursor = Some(name.clone());
             members.push(known.member.clone());
         }
     }
@@ -548,28 +552,31 @@
         u32::try_from(self.table.len()).unwrap_or(u32::MAX)
     }
 
-    fn cell_news(&mut self) -> Vec<CellClaim> {
-        let mut news: Vec<&mut Told<CellClaim>> =
-            self.cells.values_mut().filter(|t| t.tellings > 0).collect();
-        news.sort_by_key(|t| std::cmp::Reverse(t.tellings));
+    fn cell_updates(&mut self) -> Vec<CellClaim> {
+        let mut changed: Vec<&mut Broadcast<CellClaim>> = self
+            .cells
+            .values_mut()
+            .filter(|t| t.retransmits > 0)
+            .collect();
+        changed.sort_by_key(|t| std::cmp::Reverse(t.retransmits));
         let mut claims = Vec::new();
-        for told in news.into_iter().take(GOSSIP_CELLS - WALK) {
-            told.tellings -= 1;
-            claims.push(told.item.clone());
+        for broadcast in changed.into_iter().take(GOSSIP_CELLS - SYNC_ENTRIES) {
+            broadcast.retransmits -= 1;
+            claims.push(broadcast.item.clone());
         }
-        let after = self.cell_walk.take();
+        let after = self.cell_cursor.take();
         let later = self.cells.iter();
         let later = later.filter(|(cell, _)| after.as_ref().is_none_or(|a| *cell > a));
-        for (cell, told) in later.take(WALK) {
-            self.cell_walk = Some(cell.clone());
-            claims.push(told.item.clone());
+        for (cell, broadcast) in later.take(SYNC_ENTRIES) {
+            self.cell_cursor = Some(cell.clone());
+            claims.push(broadcast.item.clone());
         }
         claims
     }
 }
 
 impl Member {
-    /// The member's process as holder of a lease.
+    /// The member as holder of a lease.
     #[must_use]
     pub fn holder(&self) -> Holder {
         Holder {
@@ -580,7 +587,7 @@
     }
 }
 
-/// Weight of an instance for `key`; the one with the greatest comes first.
+/// Rendezvous weight of an instance for `key`; the highest ranks first.
 pub(crate) fn weight(key: &str, name: &InstanceName) -> u64 {
     xxh3_64(format!("{key}\n{name}").as_bytes())
 }
--- a/cornelstand/src/member_message.rs
+++ b/cornelstand/src/member_message.rs
@@ -9,7 +9,7 @@
 /// Input of the membership.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum MemberInput {
-    /// Time passed. Expected once in a period.
+    /// Timer tick, once per period.
     Tick {
         /// Stamp for the messages.
         stamp: Stamp,
@@ -24,15 +24,15 @@
     /// A peer replied in an exchange.
     Answered(Box<Gossip>),
     /// A peer did not reply.
-    Silent(SocketAddr),
+    NoReply(SocketAddr),
     /// The platform's instance list, or the addresses in the settings.
     Seeds {
         /// The instances.
         seeds: Vec<Seed>,
-        /// Whether the list is the platform's, so that a missing instance has ended.
+        /// Whether the list is the platform's, where absence proves an end.
         is_complete: bool,
     },
-    /// This instance acts as owner of a cell.
+    /// This instance claims a cell.
     Claim {
         /// The cell.
         cell: CellId,
@@ -43,7 +43,7 @@
     },
     /// This instance has a revision in force.
     InForce(Revision),
-    /// A revision is known to be accepted.
+    /// A revision was accepted.
     Known(Revision),
     /// Items of another module for the next messages, replacing earlier ones.
     Extend(Vec<Extension>),
@@ -56,7 +56,7 @@
 /// Output of the membership.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum MemberOutput {
-    /// Send a message and return the reply or silence.
+    /// Send a message and return the reply, if any.
     Exchange {
         /// The peer.
         address: SocketAddr,
@@ -67,8 +67,8 @@
     Reply(Box<Gossip>),
     /// A member has changed its state or process.
     Changed(Member),
-    /// A member has told more of itself, such as another revision in force.
-    Told(Member),
+    /// A member's record changed otherwise, such as its revision in force.
+    Updated(Member),
     /// A cell has another owner, epoch or delay.
     Cell(CellClaim),
     /// A peer knows of a higher revision than this instance did.
--- a/cornelstand/src/membership.rs
+++ b/cornelstand/src/membership.rs
@@ -1,7 +1,7 @@
-//! The actor around the membership: it sends, answers and publishes what is known.
+//! Actor that runs the membership protocol and publishes the member table.
 //!
-//! Everybody else reads the membership from a [`watch`] channel. Exchanges run in tasks of their
-//! own, so a silent peer holds nothing up.
+//! Readers get the membership from a [`watch`] channel. Each exchange runs in a task of its own,
+//! so an unresponsive peer delays nothing.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -20,27 +20,27 @@
 use crate::name::{CellId, Epoch, InstanceName, Revision};
 use crate::timeline::{Timeline, Topic};
 
-/// Messages that may wait for the actor.
-const MAILBOX: usize = 1024;
+/// Capacity of the actor's mailbox.
+const MAILBOX_CAPACITY: usize = 1024;
 
-/// Deadline of an exchange.
-const EXCHANGE: Duration = Duration::from_millis(900);
+/// Timeout of an exchange.
+const EXCHANGE_TIMEOUT: Duration = Duration::from_millis(900);
 
 /// Time between readings of the platform's instance list.
-const LIST: Duration = Duration::from_secs(3);
+const LIST_PERIOD: Duration = Duration::from_secs(3);
 
 type ExchangeCall = dyn Fn(SocketAddr, Gossip) -> BoxFuture<'static, Option<Gossip>> + Send + Sync;
 type ListCall = dyn Fn() -> BoxFuture<'static, Option<Vec<Seed>>> + Send + Sync;
 type ExtraCall = dyn Fn(InstanceName, Vec<Extension>) + Send + Sync;
 
-/// What the membership needs from the outside.
+/// Dependencies of the membership actor.
 #[derive(Clone)]
 pub struct MembershipParts {
     /// Exchanges messages with a peer, `None` if it does not answer.
     pub exchange: Arc<ExchangeCall>,
     /// Reads the platform's instance list, without endpoints; `None` if that fails.
     pub list: Arc<ListCall>,
-    /// Takes in items of other modules from a peer.
+    /// Handles items of other modules from a peer.
     pub extra: Arc<ExtraCall>,
     /// Clock of the process.
     pub clock: Clock,
@@ -52,11 +52,11 @@
 #[derive(Debug)]
 pub struct AnswerGossip(pub Gossip);
 
-/// Gives addresses from the settings.
+/// Adds addresses from the settings.
 #[derive(Debug)]
 pub struct AddSeeds(pub Vec<Seed>);
 
-/// Tells that this instance acts as owner of a cell, and the wait there in milliseconds.
+/// Claims a cell for this instance, with the expected wait there.
 #[derive(Clone, Debug)]
 pub struct ClaimCell {
     /// The cell.
@@ -67,23 +67,23 @@
     pub delay: u32,
 }
 
-/// Tells that a revision is in force at this instance.
+/// Announces the revision in force at this instance.
 #[derive(Debug)]
 pub struct PutInForce(pub Revision);
 
-/// Tells that a revision was accepted.
+/// Reports an accepted revision.
 #[derive(Debug)]
 pub struct KnowRevision(pub Revision);
 
-/// Replaces the items of other modules in messages to come.
+/// Replaces the items of other modules in later messages.
 #[derive(Debug)]
 pub struct ExtendGossip(pub Vec<Extension>);
 
-/// Tells the peers that this instance is about to stop.
+/// Announces that this instance is about to stop.
 #[derive(Debug)]
 pub struct LeaveFleet;
 
-/// Tells the peers that this instance has stopped all work.
+/// Announces that this instance has stopped all work.
 #[derive(Debug)]
 pub struct EndMembership;
 
@@ -91,7 +91,7 @@
 #[derive(Debug)]
 pub struct StopMembership;
 
-struct Round;
+struct Tick;
 
 struct Replied(SocketAddr, Option<Gossip>);
 
@@ -102,7 +102,7 @@
     members: Members,
     parts: MembershipParts,
     published: watch::Sender<Arc<Members>>,
-    itself: Option<WeakAddress<Self>>,
+    own_address: Option<WeakAddress<Self>>,
 }
 
 impl Membership {
@@ -115,19 +115,19 @@
         let (published, receiver) = watch::channel(Arc::new(members.clone()));
         let list = parts.list.clone();
         let period = members.timing().period;
-        let fleet = Self {
+        let actor = Self {
             members,
             parts,
             published,
-            itself: None,
+            own_address: None,
         };
-        let address = xtra::spawn_tokio(fleet, Mailbox::bounded(MAILBOX));
-        tokio::spawn(beat(address.downgrade(), period));
+        let address = xtra::spawn_tokio(actor, Mailbox::bounded(MAILBOX_CAPACITY));
+        tokio::spawn(tick(address.downgrade(), period));
         tokio::spawn(list_instances(address.downgrade(), list));
         (address, receiver)
     }
 
-    fn take_in(&mut self, input: MemberInput) -> Option<Gossip> {
+    fn handle_input(&mut self, input: MemberInput) -> Option<Gossip> {
         let mut is_changed = !matches!(input, MemberInput::Tick { .. });
         let mut out = Vec::new();
         self.members.handle(self.parts.clock.now(), input, &mut out);
@@ -151,8 +151,8 @@
         let timeline = &self.parts.timeline;
         match output {
             MemberOutput::Changed(member) => {
-                let what = member.state.to_string();
-                timeline.record(Topic::Member, &what, member.name.as_str(), None);
+                let state = member.state.to_string();
+                timeline.record(Topic::Member, &state, member.name.as_str(), None);
             }
             MemberOutput::Revision { revision, .. } => {
                 timeline.record(Topic::Config, "heard of", &revision.to_string(), None);
@@ -167,35 +167,35 @@
     }
 
     fn exchange(&self, address: SocketAddr, gossip: Gossip) {
-        let Some(fleet) = self.itself.as_ref().and_then(WeakAddress::try_upgrade) else {
+        let Some(actor) = self.own_address.as_ref().and_then(WeakAddress::try_upgrade) else {
             return;
         };
         let call = (self.parts.exchange)(address, gossip);
         tokio::spawn(async move {
-            let reply = timeout(EXCHANGE, call).await.ok().flatten();
-            let _ = fleet.send(Replied(address, reply)).await;
+            let reply = timeout(EXCHANGE_TIMEOUT, call).await.ok().flatten();
+            let _ = actor.send(Replied(address, reply)).await;
         });
     }
 }
 
-async fn beat(fleet: WeakAddress<Membership>, period: Duration) {
-    let mut beat = interval(period);
-    beat.set_missed_tick_behavior(MissedTickBehavior::Delay);
+async fn tick(actor: WeakAddress<Membership>, period: Duration) {
+    let mut ticks = interval(period);
+    ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
     loop {
-        beat.tick().await;
-        if fleet.send(Round).await.is_err() {
+        ticks.tick().await;
+        if actor.send(Tick).await.is_err() {
             return;
         }
     }
 }
 
-async fn list_instances(fleet: WeakAddress<Membership>, list: Arc<ListCall>) {
-    let mut beat = interval(LIST);
-    beat.set_missed_tick_behavior(MissedTickBehavior::Delay);
-    while fleet.is_connected() {
-        beat.tick().await;
+async fn list_instances(actor: WeakAddress<Membership>, list: Arc<ListCall>) {
+    let mut ticks = interval(LIST_PERIOD);
+    ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
+    while actor.is_connected() {
+        ticks.tick().await;
         if let Some(seeds) = list().await {
-            let _ = fleet.send(Listed(seeds)).await;
+            let _ = actor.send(Listed(seeds)).await;
         }
     }
 }
@@ -204,7 +204,7 @@
     type Stop = ();
 
     async fn started(&mut self, mailbox: &Mailbox<Self>) -> Result<(), Self::Stop> {
-        self.itself = Some(mailbox.address());
+        self.own_address = Some(mailbox.address());
         Ok(())
     }
 
@@ -218,7 +218,7 @@
         self.parts.timeline.observe(message.0.stamp);
         let stamp = self.parts.timeline.stamp();
         let gossip = Box::new(message.0);
-        self.take_in(MemberInput::Received { gossip, stamp })
+        self.handle_input(MemberInput::Received { gossip, stamp })
     }
 }
 
@@ -231,9 +231,9 @@
                 self.parts.timeline.observe(gossip.stamp);
                 MemberInput::Answered(Box::new(gossip))
             }
-            None => MemberInput::Silent(address),
+            None => MemberInput::NoReply(address),
         };
-        self.take_in(input);
+        self.handle_input(input);
     }
 }
 
@@ -253,14 +253,14 @@
             async fn handle(&mut self, $pattern: $message, _: &mut Context<Self>) {
                 let $me = &*self;
                 let input = $input;
-                self.take_in(input);
+                self.handle_input(input);
             }
         }
     )*};
 }
 
 inputs! {
-    Round => Round, me, MemberInput::Tick { stamp: me.parts.timeline.stamp() };
+    Tick => Tick, me, MemberInput::Tick { stamp: me.parts.timeline.stamp() };
     Listed(seeds) => Listed, _me, MemberInput::Seeds { seeds, is_complete: true };
     AddSeeds(seeds) => AddSeeds, _me, MemberInput::Seeds { seeds, is_complete: false };
     ClaimCell { cell, epoch, delay } => ClaimCell, _me,
--- a/cornelstand/tests/agree/member.rs
+++ b/cornelstand/tests/agree/member.rs
@@ -17,7 +17,7 @@
     members.get(&instance(index)).map(|m| m.state)
 }
 
-fn agreed(count: usize, seed: u64) -> Swarm {
+fn converged(count: usize, seed: u64) -> Swarm {
     let mut swarm = Swarm::new(count, seed);
     let seconds = swarm.until(120, Swarm::is_agreed);
     assert!(seconds.is_some(), "no agreement");
@@ -25,13 +25,16 @@
 }
 
 #[rstest]
-fn all_come_to_know_all(#[values(1, 2, 8, 80)] count: usize, #[values(1, 2, 3)] seed: u64) {
-    agreed(count, seed);
+fn all_members_learn_of_all_others(
+    #[values(1, 2, 8, 80)] count: usize,
+    #[values(1, 2, 3)] seed: u64,
+) {
+    converged(count, seed);
 }
 
 #[rstest]
 fn a_killed_instance_is_dead_everywhere(#[values(8, 80)] count: usize) {
-    let mut swarm = agreed(count, 7);
+    let mut swarm = converged(count, 7);
     swarm.nodes[5] = None;
     let seconds = swarm.until(40, |s| {
         let mut viewers = (0..count).filter(|i| *i != 5);
@@ -41,8 +44,8 @@
 }
 
 #[test]
-fn a_lossy_network_kills_nobody() {
-    let mut swarm = agreed(40, 3);
+fn a_lossy_network_declares_no_member_dead() {
+    let mut swarm = converged(40, 3);
     swarm.loss = 20;
     swarm.changes.clear();
     for _ in 0..300 {
@@ -57,8 +60,8 @@
 }
 
 #[test]
-fn a_restarted_instance_with_nothing_is_known_by_its_new_process() {
-    let mut swarm = agreed(20, 4);
+fn a_restarted_instance_without_state_is_known_by_its_new_process() {
+    let mut swarm = converged(20, 4);
     swarm.start(9);
     assert!(swarm.until(60, Swarm::is_agreed).is_some());
     let old = Incarnation(1_700_000_000_000_000 + 10);
@@ -67,8 +70,8 @@
 }
 
 #[test]
-fn sides_of_a_partition_find_one_another_again() {
-    let mut swarm = agreed(30, 5);
+fn the_sides_of_a_healed_partition_agree_again() {
+    let mut swarm = converged(30, 5);
     for index in 0..10 {
         swarm.sides[index] = 1;
     }
@@ -84,7 +87,7 @@
 
 #[test]
 fn a_leaving_instance_is_not_live_and_gone_once_it_has_left() {
-    let mut swarm = agreed(8, 6);
+    let mut swarm = converged(8, 6);
     let process = swarm.nodes[3].as_ref().expect("running").me().incarnation;
     swarm.input(3, MemberInput::Leave);
     for _ in 0..10 {
@@ -106,7 +109,7 @@
 
 #[test]
 fn only_an_absence_longer_than_the_lists_lag_proves_an_end() {
-    let mut swarm = agreed(4, 8);
+    let mut swarm = converged(4, 8);
     let process = swarm.nodes[3].as_ref().expect("running").me().incarnation;
     let listed = |indices: &[usize]| MemberInput::Seeds {
         seeds: indices
@@ -121,19 +124,19 @@
     };
     swarm.input(0, listed(&[0, 1, 2, 3]));
     swarm.nodes[3] = None;
-    let mut proven = Vec::new();
+    let mut gone_at = Vec::new();
     for second in 0..30 {
         swarm.second();
         swarm.input(0, listed(&[0, 1, 2]));
         let members = swarm.nodes[0].as_ref().expect("running");
         if members.is_gone(&instance(3), process) {
-            proven.push(second);
+            gone_at.push(second);
         }
     }
-    // Listed last at the start, so the tenth second is the first after the lag.
-    assert_eq!(proven.first(), Some(&9));
-    // A list that is not read proves nothing, however long it takes.
-    let mut other = agreed(4, 9);
+    // Last listed at the start, so the tenth second is the first after the lag.
+    assert_eq!(gone_at.first(), Some(&9));
+    // Without further lists, a long absence proves nothing.
+    let mut other = converged(4, 9);
     other.input(0, listed(&[0, 1, 2, 3]));
     other.nodes[3] = None;
     for _ in 0..60 {
@@ -145,7 +148,7 @@
 
 #[test]
 fn the_highest_epoch_of_a_cell_wins_whatever_the_order() {
-    let mut swarm = agreed(8, 10);
+    let mut swarm = converged(8, 10);
     let cell = CellId {
         service: "quotes".into(),
         index: 0,
@@ -172,7 +175,7 @@
 
 #[test]
 fn a_known_revision_reaches_all_and_never_falls() {
-    let mut swarm = agreed(80, 11);
+    let mut swarm = converged(80, 11);
     swarm.input(17, MemberInput::Known(Revision(9)));
     let is_known = |s: &Swarm| s.running().all(|m| m.revision() == Revision(9));
     assert!(swarm.until(11, is_known).is_some());
@@ -183,11 +186,11 @@
 
 #[test]
 fn a_message_that_comes_twice_or_late_changes_nothing() {
-    let mut swarm = agreed(3, 12);
+    let mut swarm = converged(3, 12);
     let gossip = swarm.input(
         1,
         MemberInput::Received {
-            gossip: Box::new(hello(&swarm, 0)),
+            gossip: Box::new(empty_gossip(&swarm, 0)),
             stamp: Stamp::default(),
         },
     );
@@ -204,7 +207,7 @@
     assert_eq!(state(&swarm, 0, 1), Some(MemberState::Leaving));
 }
 
-fn hello(swarm: &Swarm, index: usize) -> cornelstand::Gossip {
+fn empty_gossip(swarm: &Swarm, index: usize) -> cornelstand::Gossip {
     let members = swarm.nodes[index].as_ref().expect("running");
     cornelstand::Gossip {
         from: members.me().clone(),
@@ -219,11 +222,11 @@
 
 #[test]
 fn suspects_are_asked_and_refute() {
-    let mut swarm = agreed(8, 13);
+    let mut swarm = converged(8, 13);
     let address = swarm.nodes[4].as_ref().expect("running").me().address;
-    swarm.input(0, MemberInput::Silent(address));
+    swarm.input(0, MemberInput::NoReply(address));
     assert_eq!(state(&swarm, 0, 4), Some(MemberState::Live));
-    swarm.input(0, MemberInput::Silent(address));
+    swarm.input(0, MemberInput::NoReply(address));
     assert_eq!(state(&swarm, 0, 4), Some(MemberState::Suspect));
     for _ in 0..5 {
         swarm.second();
--- a/cornelstand/tests/agree/swarm.rs
+++ b/cornelstand/tests/agree/swarm.rs
@@ -1,4 +1,4 @@
-//! Many memberships in one process, with a network that loses, cuts and delays.
+//! Simulation of many memberships over a network with loss and partitions.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -15,7 +15,7 @@
     pub(crate) nodes: Vec<Option<Members>>,
     /// Side of each instance; messages between sides are lost.
     pub(crate) sides: Vec<u8>,
-    /// One in so many exchanges is lost; 0 for none.
+    /// Loses one in this many exchanges; 0 for none.
     pub(crate) loss: u32,
     pub(crate) bytes: u64,
     pub(crate) messages: u64,
@@ -55,7 +55,7 @@
         swarm
     }
 
-    /// Starts an instance with nothing in memory.
+    /// Starts an instance without state.
     pub(crate) fn start(&mut self, index: usize) {
         self.starts += 1;
         let me = Member {
@@ -121,7 +121,7 @@
                 self.input(from, MemberInput::Answered(Box::new(reply)));
             }
             None => {
-                self.input(from, MemberInput::Silent(to));
+                self.input(from, MemberInput::NoReply(to));
             }
         }
     }
