--- a/cornelstand/src/instance.rs
+++ b/cornelstand/src/instance.rs
@@ -1,4 +1,4 @@
-//! One running instance: all parts wired together, from start to planned stop.
+//! A running instance: construction of its parts, start and planned stop.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -37,7 +37,8 @@
 use crate::operator;
 use crate::ownership::Ownership;
 use crate::peers::{
-    StewardNeeds, addresses, directory, membership_parts, revision_parts, spread, steward_parts,
+    StewardDeps, directory, membership_parts, peer_addresses, revision_parts, spread_suspicion,
+    steward_parts,
 };
 use crate::publish::{Acceptance, Known, PublishError, accept};
 use crate::revisions::{InForce, keep_revisions};
@@ -48,14 +49,14 @@
 use crate::store::Store;
 use crate::timeline::{Timeline, Topic};
 
-/// Time between two looks at whether a planned stop has come to its end.
-const DRAIN_PAUSE: Duration = Duration::from_millis(100);
-/// Time in which peers and the balancer hear that the instance takes no more requests.
-const NOTICE: Duration = Duration::from_secs(1);
-/// Messages between cells of a service that may wait to be sent.
-const TOTALS: usize = 256;
-/// Time for the last exchanges of gossip.
-const FAREWELL: Duration = Duration::from_millis(1_200);
+/// Time between checks whether a planned stop is complete.
+const DRAIN_POLL_PERIOD: Duration = Duration::from_millis(100);
+/// Time for peers and the balancer to learn that the instance is draining.
+const NOTICE_TIME: Duration = Duration::from_secs(1);
+/// Capacity of the queue of messages between cells of a service.
+const TOTALS_CAPACITY: usize = 256;
+/// Time for the last gossip exchanges.
+const FINAL_GOSSIP_TIME: Duration = Duration::from_millis(1_200);
 
 /// Error at the start of an instance.
 #[derive(Debug, Snafu)]
@@ -98,7 +99,7 @@
     tasks: JoinSet<()>,
 }
 
-/// What the tasks of an instance share.
+/// State that an instance's tasks share.
 #[derive(Clone)]
 pub(crate) struct Parts {
     pub(crate) me: Member,
@@ -132,22 +133,22 @@
             operators: address(&operators, settings.listen.operators),
             fleet: address(&fleet, settings.listen.fleet),
         };
-        let (parts, link_settings, work) = wire(&settings, addresses.fleet)?;
+        let (parts, link_settings, background) = wire(&settings, addresses.fleet)?;
         let handlers = parts.handlers();
         let (shutdown, stopping) = watch::channel(false);
         let mut tasks = JoinSet::new();
         tasks.spawn(link::serve(fleet, link_settings, handlers));
-        for task in work {
+        for task in background {
             tasks.spawn(task);
         }
-        let answerer = {
+        let answer = {
             let parts = parts.clone();
             Arc::new(move |query| parts.clone().answer(query).boxed())
         };
         tasks.spawn(operator::serve(
             operators,
             settings.keys.operator.clone(),
-            answerer,
+            answer,
             std::future::pending(),
         ));
         let mut serving = JoinSet::new();
@@ -167,7 +168,7 @@
             parts,
             addresses,
             drain: Times::duration(settings.times.drain),
-            // The last instance of a fleet has nobody to hand its cells to.
+            // The last instance of a fleet has no peer to hand its cells to.
             handover: Times::duration(settings.times.lease) * 2,
             shutdown,
             callers: serving,
@@ -181,7 +182,7 @@
         self.addresses
     }
 
-    /// The ring of events.
+    /// Recent events.
     #[must_use]
     pub fn timeline(&self) -> &Timeline {
         &self.parts.timeline
@@ -198,43 +199,43 @@
         config.wait_for(|c| c.revision.0 > 0).await.ok();
     }
 
-    /// Requests of callers that would be cut by a stop at once.
+    /// Running requests, which an immediate stop would abort.
     #[must_use]
     pub fn requests(&self) -> usize {
         self.parts.entry.running()
     }
 
-    /// A call that tells how many requests of callers would be cut by a stop at once.
+    /// A function that returns the present number of [`Self::requests`].
     pub fn request_count(&self) -> impl Fn() -> usize + use<> {
         let entry = self.parts.entry.clone();
         move || entry.running()
     }
 
-    /// Stops without cutting a request and tells how many were cut when the time ran out.
+    /// Stops gracefully and returns the number of requests aborted when the time ran out.
     ///
-    /// The instance is not ready first, then hands its cells over, lets every answer end and
-    /// reports the outcomes.
+    /// The instance first reports not ready, then hands over its cells, completes every answer
+    /// and reports the outcomes.
     pub async fn drain(mut self) -> usize {
         let start = Instant::now();
         let parts = &self.parts;
         parts.draining.store(true, Ordering::Relaxed);
         parts.membership.send(LeaveFleet).await.ok();
         parts.steward.send(DrainCells).await.ok();
-        sleep(NOTICE).await;
+        sleep(NOTICE_TIME).await;
         parts.entry.drain();
         self.shutdown.send_replace(true);
         while start.elapsed() < self.drain {
-            let is_free = parts.holdings.owned().is_empty() || start.elapsed() > self.handover;
-            if parts.entry.running() == 0 && is_free {
+            let is_released = parts.holdings.owned().is_empty() || start.elapsed() > self.handover;
+            if parts.entry.running() == 0 && is_released {
                 break;
             }
-            sleep(DRAIN_PAUSE).await;
+            sleep(DRAIN_POLL_PERIOD).await;
         }
         let cut = parts.entry.running();
-        // Outcomes are on their way to the owners of cells.
-        sleep(NOTICE).await;
+        // Outcomes are in flight to the owners of cells.
+        sleep(NOTICE_TIME).await;
         parts.membership.send(EndMembership).await.ok();
-        sleep(FAREWELL).await;
+        sleep(FINAL_GOSSIP_TIME).await;
         let name = parts.me.name.as_str();
         parts.timeline.record(Topic::Process, "stopped", name, None);
         tracing::info!(instance = name, cut, "stopped");
@@ -263,12 +264,12 @@
         self.in_force.config().borrow().clone()
     }
 
-    /// Fleet addresses of the other instances that may answer.
+    /// Fleet addresses of other instances that have not ended.
     pub(crate) fn peers(&self) -> Vec<SocketAddr> {
-        addresses(&self.members.borrow())
+        peer_addresses(&self.members.borrow())
     }
 
-    /// Accepts a note and tells the fleet of its revision.
+    /// Accepts a note and announces its revision.
     pub(crate) async fn accept(&self, note: &Note) -> Result<Acceptance, PublishError> {
         let acceptance = accept(&self.store, note, &mut Known::default()).await?;
         let revision = acceptance.revision;
@@ -302,10 +303,10 @@
     }
 }
 
-/// Tasks that run as long as the instance.
+/// Background task of an instance.
 type Task = BoxFuture<'static, ()>;
 
-/// Builds all parts around each other.
+/// Builds and connects all parts.
 fn wire(
     settings: &Settings,
     fleet: SocketAddr,
@@ -321,17 +322,17 @@
         own: settings.instance.clone(),
         key: settings.keys.fleet.as_str().into(),
         silence: Times::duration(times.link),
-        frame: settings.limits.frame_bytes,
+        max_frame: settings.limits.frame_bytes,
         traffic: traffic.clone(),
     };
     let links = Links::new(link_settings.clone());
     let (list, list_out) = watch::channel(None);
-    let (declared, declared_out) = watch::channel(Arc::new(Config::default()));
-    let (totals, totals_out) = mpsc::channel(TOTALS);
-    let holdings = Holdings::new(clock, timeline.clone(), declared_out.clone(), totals);
-    let machine = Members::new(me.clone(), MemberTiming::default(), me.incarnation.0);
-    let parts = membership_parts(&links, list_out, declared_out.clone(), clock, &timeline);
-    let (membership, members) = Membership::spawn(machine, parts);
+    let (applied, applied_out) = watch::channel(Arc::new(Config::default()));
+    let (totals, totals_out) = mpsc::channel(TOTALS_CAPACITY);
+    let holdings = Holdings::new(clock, timeline.clone(), applied_out.clone(), totals);
+    let table = Members::new(me.clone(), MemberTiming::default(), me.incarnation.0);
+    let parts = membership_parts(&links, list_out, applied_out.clone(), clock, &timeline);
+    let (membership, members) = Membership::spawn(table, parts);
     let parts = revision_parts(
         &links,
         &store,
@@ -341,20 +342,20 @@
     );
     let in_force = keep_revisions(parts);
     let (changes, changes_out) = mpsc::unbounded_channel();
-    let parts = steward_parts(StewardNeeds {
+    let parts = steward_parts(StewardDeps {
         links: &links,
         store: &store,
         holdings: &holdings,
         changes,
         members: members.clone(),
         membership: membership.clone(),
-        config: declared_out.clone(),
+        config: applied_out.clone(),
         clock,
         timeline: &timeline,
     });
     let steward = Steward::spawn(me.holder(), lease_timing(times), parts);
-    let directory = directory(&members, declared_out.clone());
-    let carried = carry_totals(
+    let directory = directory(&members, applied_out.clone());
+    let totals_task = carry_totals(
         directory.clone(),
         links.clone(),
         holdings.clone(),
@@ -367,12 +368,12 @@
     let entry = Entry::new(EntryParts {
         name: settings.instance.clone(),
         dispatch: router.dispatch(),
-        config: declared_out,
+        config: applied_out,
         clock,
         timeline: timeline.clone(),
         metrics: EntryMetrics::new(&registry).context(MetricsSnafu)?,
         limits: settings.entry,
-        spread: spread(&links, &members),
+        spread: spread_suspicion(&links, &members),
         claims: claims.clone(),
     });
     let ownership = Ownership {
@@ -381,9 +382,9 @@
         members: members.clone(),
     };
     let tasks = vec![
-        carried.boxed(),
+        totals_task.boxed(),
         follow_instances(settings.platform.instances, holdings.clone(), list).boxed(),
-        configure(in_force.config(), declared, holdings.clone()).boxed(),
+        configure(in_force.config(), applied, holdings.clone()).boxed(),
         holdings.clone().measure_delays().boxed(),
         ownership.clone().watch_entries().boxed(),
         ownership.follow(changes_out, steward.clone()).boxed(),
@@ -407,16 +408,16 @@
     Ok((parts, link_settings, tasks))
 }
 
-/// Puts each revision in force, in the owned cells first and then at the entry.
+/// Applies each revision, to the owned cells first and then at the entry.
 async fn configure(
     mut in_force: watch::Receiver<Arc<Config>>,
-    declared: watch::Sender<Arc<Config>>,
+    applied: watch::Sender<Arc<Config>>,
     holdings: Holdings,
 ) {
     loop {
         let config = in_force.borrow_and_update().clone();
         holdings.configure(&config).await;
-        declared.send_replace(config);
+        applied.send_replace(config);
         if in_force.changed().await.is_err() {
             return;
         }
@@ -436,7 +437,7 @@
     }
 }
 
-/// The lease's times in proportion to its length.
+/// Lease timing in proportion to its length.
 fn lease_timing(times: &Times) -> LeaseTiming {
     let length = Times::duration(times.lease);
     LeaseTiming {
@@ -448,7 +449,7 @@
     }
 }
 
-/// Tells the membership the addresses in the settings.
+/// Passes the settings' addresses to the membership.
 async fn seed_members(settings: &Settings, membership: &Address<Membership>) {
     let seeds = settings.seeds.iter().map(|peer| Seed {
         name: Some(peer.instance.clone()),
@@ -464,7 +465,7 @@
         .context(ListenSnafu { address })
 }
 
-/// The address that a listener got, which differs where the settings leave the port open.
+/// The bound address, which differs from `asked` where the settings leave the port open.
 fn address(listener: &TcpListener, asked: SocketAddr) -> SocketAddr {
     listener.local_addr().unwrap_or(asked)
 }
--- a/cornelstand/src/link.rs
+++ b/cornelstand/src/link.rs
@@ -1,9 +1,9 @@
-//! Links between instances: calls over TCP with a proof of the fleet key and heartbeats.
+//! Links between instances: RPC over TCP with fleet-key authentication and heartbeats.
 //!
-//! A link connects when it is first used and closes when it has been idle. While calls wait for
-//! their answers the connecting side sends heartbeats; a connection that is silent meanwhile is
-//! dropped, so that calls on it fail at once and the next call opens a new one. An idle link costs
-//! nothing; whether it is still alive shows with the first heartbeat after the next call.
+//! A link connects on first use and closes when idle. While calls await their answers the
+//! connecting side sends heartbeats; a connection that does not answer them is dropped, so that
+//! its calls fail at once and the next call reconnects. An idle link sends nothing; the first
+//! heartbeat after the next call shows whether it is still alive.
 
 use std::collections::HashMap;
 use std::future::Future;
@@ -39,12 +39,12 @@
 use crate::suspect::Suspicion;
 use crate::timeline::{Event, Stamp};
 
-/// Heartbeats sent in the time after which a link counts as silent.
+/// Heartbeats sent within the silence that drops a link.
 const HEARTBEATS: u32 = 3;
 /// Time without calls after which a link is closed.
-const IDLE: Duration = Duration::from_secs(10);
-/// Time added to a call's deadline for the way there and back.
-const MARGIN: Duration = Duration::from_secs(1);
+const IDLE_TIMEOUT: Duration = Duration::from_secs(10);
+/// Time added to a call's deadline for the round trip.
+const DEADLINE_MARGIN: Duration = Duration::from_secs(1);
 
 /// Error of a call to another instance.
 #[derive(Debug, Snafu)]
@@ -69,7 +69,7 @@
     },
 }
 
-/// What the receiver of a report did with it.
+/// Outcome of a report at its receiver.
 #[derive(Clone, Debug, Deserialize, Display, Eq, PartialEq, Serialize)]
 pub(crate) enum Receipt {
     /// The report was taken.
@@ -86,29 +86,29 @@
     async fn ping(stamp: Stamp) -> Stamp;
     /// Asks the owner of a cell for an endpoint.
     async fn offer(offer: Offer) -> Reply;
-    /// Takes back an offer, also if it has been granted but not used.
+    /// Withdraws an offer, also if it is granted but not used.
     async fn withdraw(cell: CellId, attempt: AttemptId);
-    /// Tells the owner of a cell how granted attempts go.
+    /// Reports granted attempts to the owner of a cell.
     async fn tell(reports: Vec<Report>) -> Vec<Receipt>;
-    /// Tells a cell what another cell of its service has given to accounts.
+    /// Reports to a cell the service that another cell gave to accounts.
     async fn hear(cell: CellId, totals: Totals);
-    /// Asks an entry for all it runs of a cell, on behalf of the owner with `epoch`.
+    /// Asks an entry for its running attempts of a cell, for the owner with `epoch`.
     async fn census(cell: CellId, epoch: Epoch) -> Census;
-    /// Gives a cell's state to its next owner.
+    /// Hands a cell's state to its next owner.
     async fn hand_over(handover: Handover) -> bool;
-    /// Exchanges news of the membership.
+    /// Exchanges membership gossip.
     async fn gossip(gossip: Gossip) -> Option<Gossip>;
-    /// Asks for the use of a half of a cell's limits.
+    /// Asks to borrow half of a cell's limits.
     async fn borrow(borrow: Borrow) -> Option<BorrowReply>;
-    /// Tells the next owner of a cell that its former owner has stopped.
+    /// Tells the next owner of a cell that the former one has stopped.
     async fn yield_cell(word: Yield);
-    /// Tells of a suspect request and asks what is known of it.
+    /// Reports a suspect request and asks what is known of it.
     async fn suspect(suspicion: Suspicion) -> Option<Suspicion>;
-    /// Carries out an operation on a claim shard that the receiver writes.
+    /// Runs an operation on a claim shard that the receiver writes.
     async fn claim(call: ClaimCall) -> Option<ClaimAnswer>;
-    /// Asks for what leads from revision `known` to the present one.
+    /// Asks for the update from revision `known` to the present one.
     async fn config(known: Revision) -> Option<ConfigUpdate>;
-    /// Asks for the events of the time line.
+    /// Asks for the events of the timeline.
     async fn events() -> Vec<Event>;
     /// Asks for the state of the instance.
     async fn status() -> InstanceStatus;
@@ -116,7 +116,7 @@
 
 type Call<In, Out> = Arc<dyn Fn(In) -> BoxFuture<'static, Out> + Send + Sync>;
 
-/// What an instance does with the calls it receives.
+/// Handlers of incoming calls.
 #[derive(Clone)]
 pub(crate) struct Handlers {
     pub(crate) ping: Arc<dyn Fn(Stamp) -> Stamp + Send + Sync>,
@@ -198,7 +198,7 @@
     }
 }
 
-/// What all links of one process share.
+/// Settings shared by all links.
 #[derive(Clone, Debug)]
 pub(crate) struct LinkSettings {
     /// Own name.
@@ -207,18 +207,18 @@
     pub(crate) key: Arc<str>,
     /// Silence after which a link is replaced.
     pub(crate) silence: Duration,
-    /// Most bytes of one message.
-    pub(crate) frame: usize,
-    /// Counts of bytes.
+    /// Maximum bytes per message.
+    pub(crate) max_frame: usize,
+    /// Byte counters.
     pub(crate) traffic: Traffic,
 }
 
 impl LinkSettings {
     fn framed(&self, stream: TcpStream) -> Framed<Metered<TcpStream>, LengthDelimitedCodec> {
         let codec = LengthDelimitedCodec::builder()
-            .max_frame_length(self.frame)
+            .max_frame_length(self.max_frame)
             .new_codec();
-        let silence = IDLE + self.silence;
+        let silence = IDLE_TIMEOUT + self.silence;
         let stream = Metered::new(stream, self.traffic.clone(), silence);
         Framed::new(stream, codec)
     }
@@ -287,11 +287,11 @@
         Fut: Future<Output = Result<T, RpcError>>,
     {
         let link = self.link(address);
-        // Before the connection is looked up, so that it is not closed as idle meanwhile.
-        let _busy = Busy::new(&link);
+        // Taken before the lookup, so that the connection is not closed as idle.
+        let _guard = CallGuard::new(&link);
         let client = link.client(&self.settings).await?;
         let mut context = Context::current();
-        context.deadline = std::time::Instant::now() + wait + MARGIN;
+        context.deadline = std::time::Instant::now() + wait + DEADLINE_MARGIN;
         call(client, context).await.context(CallSnafu { address })
     }
 
@@ -301,7 +301,7 @@
             Arc::new(Link {
                 address,
                 calls: AtomicUsize::new(0),
-                made: AtomicU64::new(0),
+                total_calls: AtomicU64::new(0),
                 connection: tokio::sync::Mutex::default(),
             })
         });
@@ -319,7 +319,7 @@
     /// Calls that wait for a connection or an answer.
     calls: AtomicUsize,
     /// Calls made so far.
-    made: AtomicU64,
+    total_calls: AtomicU64,
     connection: tokio::sync::Mutex<Option<Connection>>,
 }
 
@@ -337,7 +337,7 @@
         }
         let opened = self.open(settings).await?;
         let client = opened.client.clone();
-        tokio::spawn(beat(
+        tokio::spawn(send_heartbeats(
             Arc::clone(self),
             client.clone(),
             opened.dispatch.clone(),
@@ -351,7 +351,7 @@
         self.calls.load(Ordering::Relaxed) > 0
     }
 
-    /// Forgets the connection unless a call has come meanwhile, and tells whether it did.
+    /// Drops the connection unless a call has come meanwhile; returns whether it did.
     async fn close_idle(&self) -> bool {
         let mut connection = self.connection.lock().await;
         if self.is_busy() {
@@ -383,41 +383,46 @@
     }
 }
 
-/// Sends heartbeats while calls wait, until the connection is silent, broken or idle, then ends it.
-async fn beat(link: Arc<Link>, client: FleetClient, dispatch: AbortHandle, silence: Duration) {
-    let mut used = Instant::now();
-    let mut made = 0;
+/// Sends heartbeats while calls wait; closes the connection once it is silent, broken or idle.
+async fn send_heartbeats(
+    link: Arc<Link>,
+    client: FleetClient,
+    dispatch: AbortHandle,
+    silence: Duration,
+) {
+    let mut last_used = Instant::now();
+    let mut last_total = 0;
     while !dispatch.is_finished() {
         sleep(silence / HEARTBEATS).await;
-        let now_made = link.made.load(Ordering::Relaxed);
-        if now_made != made || link.is_busy() {
-            made = now_made;
-            used = Instant::now();
+        let total_calls = link.total_calls.load(Ordering::Relaxed);
+        if total_calls != last_total || link.is_busy() {
+            last_total = total_calls;
+            last_used = Instant::now();
         }
         if link.is_busy() {
-            let beat = client.ping(Context::current(), Stamp::default());
-            if !matches!(timeout(silence, beat).await, Ok(Ok(_))) {
+            let heartbeat = client.ping(Context::current(), Stamp::default());
+            if !matches!(timeout(silence, heartbeat).await, Ok(Ok(_))) {
                 break;
             }
-        } else if used.elapsed() > IDLE && link.close_idle().await {
+        } else if last_used.elapsed() > IDLE_TIMEOUT && link.close_idle().await {
             break;
         }
     }
     dispatch.abort();
 }
 
-/// Counts a call while it lasts.
-struct Busy<'a>(&'a Link);
+/// Counts a call in progress.
+struct CallGuard<'a>(&'a Link);
 
-impl<'a> Busy<'a> {
+impl<'a> CallGuard<'a> {
     fn new(link: &'a Link) -> Self {
         link.calls.fetch_add(1, Ordering::Relaxed);
-        link.made.fetch_add(1, Ordering::Relaxed);
+        link.total_calls.fetch_add(1, Ordering::Relaxed);
         Self(link)
     }
 }
 
-impl Drop for Busy<'_> {
+impl Drop for CallGuard<'_> {
     fn drop(&mut self) {
         self.0.calls.fetch_sub(1, Ordering::Relaxed);
     }
--- a/cornelstand/src/link/tests.rs
+++ b/cornelstand/src/link/tests.rs
@@ -18,12 +18,12 @@
         own: own.into(),
         key: key.into(),
         silence: SILENCE,
-        frame: 1 << 20,
+        max_frame: 1 << 20,
         traffic: Traffic::default(),
     }
 }
 
-/// Handlers of which only heartbeats and an offer that is never answered are called.
+/// Handlers that answer heartbeats; an offer is never answered.
 fn handlers() -> Handlers {
     Handlers {
         ping: Arc::new(|stamp| stamp),
@@ -48,7 +48,7 @@
 async fn a_call_on_a_link_that_falls_silent_fails_and_the_next_gets_a_new_one() {
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
     let address = listener.local_addr().expect("an address");
-    // The first connection proves the key and is never read again; the second is served.
+    // The first connection is accepted and never read again; the second is served.
     let server = tokio::spawn(async move {
         let (mut first, _) = listener.accept().await.expect("a connection");
         let own = "b".into();
--- a/cornelstand/src/peers.rs
+++ b/cornelstand/src/peers.rs
@@ -1,4 +1,4 @@
-//! Calls to peers and to the platform that the machines of an instance ask for.
+//! Calls to peers and the platform on behalf of an instance's state machines.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -24,14 +24,14 @@
 use crate::store::Store;
 use crate::timeline::Timeline;
 
-/// Time for the answer to a message of the gossip or to a request for a loan.
-const PEER_WAIT: Duration = Duration::from_secs(1);
-/// Time for a configuration from a peer.
-const PULL_WAIT: Duration = Duration::from_secs(2);
-/// Time for a peer's answer about a suspect request.
-const SPREAD_WAIT: Duration = Duration::from_millis(500);
+/// Timeout of a gossip exchange or of a request to borrow limits.
+const PEER_TIMEOUT: Duration = Duration::from_secs(1);
+/// Timeout of a configuration pull.
+const PULL_TIMEOUT: Duration = Duration::from_secs(2);
+/// Timeout of a report of a suspect request.
+const SUSPICION_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// What the membership needs.
+/// Membership dependencies.
 pub(crate) fn membership_parts(
     links: &Links,
     list: watch::Receiver<Option<InstanceList>>,
@@ -44,7 +44,7 @@
         exchange: Arc::new(move |address, gossip| {
             let links = links.clone();
             async move {
-                let reply = links.call(address, PEER_WAIT, |client, context| async move {
+                let reply = links.call(address, PEER_TIMEOUT, |client, context| async move {
                     client.gossip(context, gossip).await
                 });
                 reply.await.ok().flatten()
@@ -61,8 +61,8 @@
     }
 }
 
-/// What the calls of the leases are made from.
-pub(crate) struct StewardNeeds<'a> {
+/// Inputs of [`steward_parts`].
+pub(crate) struct StewardDeps<'a> {
     pub(crate) links: &'a Links,
     pub(crate) store: &'a Store,
     pub(crate) holdings: &'a Holdings,
@@ -74,20 +74,20 @@
     pub(crate) timeline: &'a Timeline,
 }
 
-/// What the leases need. Changes of ownership go to `changes`.
-pub(crate) fn steward_parts(needs: StewardNeeds<'_>) -> StewardParts {
-    let changes = needs.changes;
-    let (lenders, nexts, holdings) = (
-        needs.links.clone(),
-        needs.links.clone(),
-        needs.holdings.clone(),
+/// Steward dependencies. Ownership changes go to `changes`.
+pub(crate) fn steward_parts(deps: StewardDeps<'_>) -> StewardParts {
+    let changes = deps.changes;
+    let (borrow_links, yield_links, holdings) = (
+        deps.links.clone(),
+        deps.links.clone(),
+        deps.holdings.clone(),
     );
     StewardParts {
-        store: needs.store.clone(),
+        store: deps.store.clone(),
         borrow: Arc::new(move |to, borrow| {
-            let links = lenders.clone();
+            let links = borrow_links.clone();
             async move {
-                let reply = links.call(to.address, PEER_WAIT, |client, context| async move {
+                let reply = links.call(to.address, PEER_TIMEOUT, |client, context| async move {
                     client.borrow(context, borrow).await
                 });
                 reply.await.ok().flatten()
@@ -95,12 +95,12 @@
             .boxed()
         }),
         word: Arc::new(move |to, word| {
-            let links = nexts.clone();
+            let links = yield_links.clone();
             async move {
-                let told = links.call(to.address, PEER_WAIT, |client, context| async move {
+                let reply = links.call(to.address, PEER_TIMEOUT, |client, context| async move {
                     client.yield_cell(context, word).await
                 });
-                told.await.ok();
+                reply.await.ok();
             }
             .boxed()
         }),
@@ -109,15 +109,15 @@
             changes.send((cell, change)).ok();
         }),
         delay: Arc::new(move |cell| holdings.delay(cell)),
-        members: needs.members,
-        fleet: needs.membership,
-        config: needs.config,
-        clock: needs.clock,
-        timeline: needs.timeline.clone(),
+        members: deps.members,
+        fleet: deps.membership,
+        config: deps.config,
+        clock: deps.clock,
+        timeline: deps.timeline.clone(),
     }
 }
 
-/// What the revisions need.
+/// Revision dependencies.
 pub(crate) fn revision_parts(
     links: &Links,
     store: &Store,
@@ -131,7 +131,7 @@
         pull: Arc::new(move |peer, known| {
             let links = links.clone();
             async move {
-                let update = links.call(peer.address, PULL_WAIT, |client, context| async move {
+                let update = links.call(peer.address, PULL_TIMEOUT, |client, context| async move {
                     client.config(context, known).await
                 });
                 update.await.ok().flatten()
@@ -144,7 +144,7 @@
     }
 }
 
-/// What the router asks about the fleet.
+/// The router's view of the fleet.
 pub(crate) fn directory(
     members: &watch::Receiver<Arc<Members>>,
     config: watch::Receiver<Arc<Config>>,
@@ -163,7 +163,7 @@
     }
 }
 
-/// Present owner of a cell, if it is known and not known to have ended.
+/// Owner of a cell, if it is known and not known to have ended.
 fn owner(members: &Members, cell: &CellId) -> Option<Owner> {
     let claim = members.owner(cell)?;
     let member = members.get(&claim.owner)?;
@@ -173,27 +173,33 @@
     })
 }
 
-/// The call that tells all peers of a suspect request.
-pub(crate) fn spread(links: &Links, members: &watch::Receiver<Arc<Members>>) -> SpreadCall {
+/// Call that reports a suspect request to all peers.
+pub(crate) fn spread_suspicion(
+    links: &Links,
+    members: &watch::Receiver<Arc<Members>>,
+) -> SpreadCall {
     let (links, members) = (links.clone(), members.clone());
     Arc::new(move |suspicion| {
-        let asked = addresses(&members.borrow()).into_iter().map(|address| {
-            let (links, suspicion) = (links.clone(), suspicion.clone());
-            async move {
-                let answer = links.call(address, SPREAD_WAIT, |client, context| async move {
-                    client.suspect(context, suspicion).await
-                });
-                answer.await.ok().flatten()
-            }
-        });
-        join_all(asked.collect::<Vec<_>>())
+        let calls = peer_addresses(&members.borrow())
+            .into_iter()
+            .map(|address| {
+                let (links, suspicion) = (links.clone(), suspicion.clone());
+                async move {
+                    let answer =
+                        links.call(address, SUSPICION_TIMEOUT, |client, context| async move {
+                            client.suspect(context, suspicion).await
+                        });
+                    answer.await.ok().flatten()
+                }
+            });
+        join_all(calls.collect::<Vec<_>>())
             .map(|answers| answers.into_iter().flatten().collect())
             .boxed()
     })
 }
 
-/// Addresses of the other instances that may answer.
-pub(crate) fn addresses(members: &Members) -> Vec<SocketAddr> {
+/// Addresses of other instances that have not ended.
+pub(crate) fn peer_addresses(members: &Members) -> Vec<SocketAddr> {
     let own = &members.me().name;
     let others = members
         .all()
