--- a/cornelstand/src/instance_list.rs
+++ b/cornelstand/src/instance_list.rs
@@ -14,18 +14,18 @@
 use crate::holdings::Holdings;
 use crate::name::{EndpointName, InstanceName};
 
-/// Time between two readings of the list by the owner of a cell, and for the answer to one.
-const PERIOD: Duration = Duration::from_secs(1);
-/// Periods between two readings by an instance that owns no cell and grants nothing.
-const SPARSE: u32 = 3;
+/// Poll period of an instance that owns a cell, and the timeout of one poll.
+const POLL_PERIOD: Duration = Duration::from_secs(1);
+/// Periods between two polls by an instance that owns no cell and grants nothing.
+const IDLE_PERIODS: u32 = 3;
 
-/// The list as the platform gives it.
+/// The platform's list.
 #[derive(Clone, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
 pub(crate) struct InstanceList {
     instances: Vec<ListedInstance>,
 }
 
-/// One line of the list: an instance of the fleet or an endpoint.
+/// An entry of the list: an instance of the fleet or an endpoint.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 struct ListedInstance {
     name: String,
@@ -46,7 +46,7 @@
         leaving.map(|i| i.name.as_str().into()).collect()
     }
 
-    /// The instances of the fleet, which are those that are no endpoints.
+    /// The instances of the fleet: those that are not endpoints.
     pub(crate) fn seeds(&self, config: &Config) -> Vec<Seed> {
         let is_peer = |i: &&ListedInstance| !config.endpoints.contains_key(i.name.as_str());
         let seeds = self.instances.iter().filter(is_peer).map(|i| Seed {
@@ -58,36 +58,36 @@
     }
 }
 
-/// Reads the list at `platform` again and again, tells the cells which endpoints leave and keeps
-/// the latest list in `latest`.
+/// Polls the list at `platform`, tells the cells which endpoints are leaving and publishes the
+/// list in `latest`.
 pub(crate) async fn follow_instances(
     platform: SocketAddr,
     holdings: Holdings,
     latest: watch::Sender<Option<InstanceList>>,
 ) {
-    let http = reqwest::Client::builder().no_proxy().timeout(PERIOD);
+    let http = reqwest::Client::builder().no_proxy().timeout(POLL_PERIOD);
     let http = http
         .build()
         .expect("an HTTP client without TLS needs no system resources");
     let mut leaving = BTreeSet::new();
-    let mut skipped = SPARSE;
-    let mut ticks = interval(PERIOD);
+    let mut skipped = IDLE_PERIODS;
+    let mut ticks = interval(POLL_PERIOD);
     ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
     loop {
         ticks.tick().await;
         skipped += 1;
-        if skipped < SPARSE && holdings.owned().is_empty() {
+        if skipped < IDLE_PERIODS && holdings.owned().is_empty() {
             continue;
         }
         skipped = 0;
-        let present = read(&http, platform).await;
-        if let Some(now) = present.as_ref().map(InstanceList::leaving)
+        let list = read(&http, platform).await;
+        if let Some(now) = list.as_ref().map(InstanceList::leaving)
             && now != leaving
         {
             holdings.set_leaving(now.clone()).await;
             leaving = now;
         }
-        latest.send_replace(present);
+        latest.send_replace(list);
     }
 }
 
