--- a/cornelstand/src/handshake.rs
+++ b/cornelstand/src/handshake.rs
@@ -1,9 +1,8 @@
-//! Proof of the fleet key at the start of every link between instances.
+//! Fleet-key authentication at the start of every link between instances.
 //!
 //! Both sides send a nonce and prove the key by an HMAC over both nonces and their role, so that
-//! neither a recorded exchange nor the other side's own proof can be played back. Frames are
-//! bounded and the whole exchange has a deadline, so that a silent or garbled connection costs
-//! little.
+//! neither a recorded exchange nor the other side's own proof can be replayed. Frames are bounded
+//! and the whole exchange has a deadline, which limits the cost of a silent or malformed peer.
 
 use std::time::Duration;
 
@@ -21,7 +20,7 @@
 
 /// Version of the protocol between instances.
 pub const PROTOCOL: u16 = 1;
-/// Most bytes of one handshake frame.
+/// Maximum bytes per handshake frame.
 pub const HELLO_BYTES: usize = 256;
 /// Time for the whole handshake.
 pub const HELLO_TIME: Duration = Duration::from_secs(2);
@@ -81,7 +80,7 @@
 ///
 /// # Errors
 ///
-/// [`HandshakeError`]; the connection is of no further use.
+/// [`HandshakeError`]; the connection must be dropped.
 pub(crate) async fn connect<S>(
     stream: &mut S,
     key: &str,
@@ -90,14 +89,14 @@
 where
     S: AsyncRead + AsyncWrite + Unpin,
 {
-    exchange(stream, key, own, Role::Client).await
+    prove_in_time(stream, key, own, Role::Client).await
 }
 
 /// Proves `key` as the accepting side and returns the other side's name.
 ///
 /// # Errors
 ///
-/// [`HandshakeError`]; the connection is of no further use.
+/// [`HandshakeError`]; the connection must be dropped.
 pub(crate) async fn accept<S>(
     stream: &mut S,
     key: &str,
@@ -106,10 +105,10 @@
 where
     S: AsyncRead + AsyncWrite + Unpin,
 {
-    exchange(stream, key, own, Role::Server).await
+    prove_in_time(stream, key, own, Role::Server).await
 }
 
-async fn exchange<S>(
+async fn prove_in_time<S>(
     stream: &mut S,
     key: &str,
     own: &InstanceName,
@@ -155,7 +154,7 @@
         Role::Server => (&theirs, &ours, Role::Client),
     };
     let own_proof = Proof(
-        code(key, role, client, server)
+        proof_mac(key, role, client, server)
             .finalize()
             .into_bytes()
             .into(),
@@ -165,7 +164,7 @@
         send(&mut frames, &own_proof).await?;
     }
     let proof: Proof = receive(&mut frames).await?;
-    code(key, other, client, server)
+    proof_mac(key, other, client, server)
         .verify_slice(&proof.0)
         .ok()
         .context(ProofSnafu)?;
@@ -175,7 +174,7 @@
     Ok(theirs.instance)
 }
 
-fn code(key: &str, role: Role, client: &Hello, server: &Hello) -> Hmac<Sha256> {
+fn proof_mac(key: &str, role: Role, client: &Hello, server: &Hello) -> Hmac<Sha256> {
     let mut mac =
         Hmac::<Sha256>::new_from_slice(key.as_bytes()).expect("HMAC takes a key of any length");
     mac.update(match role {
--- a/cornelstand/src/handshake/tests.rs
+++ b/cornelstand/src/handshake/tests.rs
@@ -1,4 +1,4 @@
-//! The handshake against a peer that sends anything.
+//! Handshake with a peer that sends random bytes.
 
 use proptest::collection::vec;
 use proptest::prelude::*;
@@ -10,8 +10,8 @@
 const CASES: u32 = 1_000;
 const SEED: [u8; 16] = *b"a peer unnamed!!";
 
-/// What an instance makes of a peer that sends `bytes` and then closes its side.
-fn heard(bytes: &[u8]) -> bool {
+/// Whether a peer that sends `bytes` and then closes its side is accepted.
+fn is_accepted(bytes: &[u8]) -> bool {
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_time()
         .start_paused(true)
@@ -41,7 +41,7 @@
         ..Config::default()
     };
     let result = TestRunner::new_with_rng(config, rng).run(&sent, |bytes| {
-        prop_assert!(!heard(&bytes));
+        prop_assert!(!is_accepted(&bytes));
         Ok(())
     });
     result.unwrap_or_else(|e| panic!("{e}"));
@@ -50,6 +50,6 @@
 #[test]
 fn a_frame_longer_than_a_hello_is_refused_before_it_comes() {
     let length = u32::try_from(HELLO_BYTES + 1).expect("a short frame");
-    assert!(!heard(&length.to_be_bytes()));
-    assert!(!heard(&u32::MAX.to_be_bytes()));
+    assert!(!is_accepted(&length.to_be_bytes()));
+    assert!(!is_accepted(&u32::MAX.to_be_bytes()));
 }
