--- a/cornelstand/src/publish.rs
+++ b/cornelstand/src/publish.rs
@@ -4,9 +4,9 @@
 //! That update is the only point at which the note takes effect. When its answer is lost, the
 //! head is read back and the note's digest in it tells whether it was accepted.
 //!
-//! A note that needs a shard of a name which exists already writes it again, which raises its
-//! version. Deleting is conditional on the version seen before, so a shard that a note has just
-//! come to need is never deleted under it.
+//! A note that needs an existing shard writes it again, which raises its version. Deletion is
+//! conditional on the version seen before, so a shard that another note has just started to use
+//! is never deleted.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -23,23 +23,23 @@
 /// Name of the head object.
 pub const HEAD_NAME: &str = "head";
 
-/// Tries to settle a conditional update whose answer was lost.
-const TRIES: usize = 8;
+/// Attempts to read the head or settle a lost update.
+const MAX_ATTEMPTS: usize = 8;
 
-/// Tries to write a shard; a lost answer costs two.
-const SHARD_TRIES: usize = 2 * TRIES;
+/// Attempts per shard; a lost answer costs two.
+const MAX_SHARD_ATTEMPTS: usize = 2 * MAX_ATTEMPTS;
 
-/// Notes that the head remembers.
-const KEPT_NOTES: usize = 64;
+/// Notes listed in the head.
+const HEAD_NOTES: usize = 64;
 
-/// Items that the head names for each remembered note.
-const KEPT_ROWS: usize = 24;
+/// Items listed in the head for each note.
+const ROWS_PER_NOTE: usize = 24;
 
-/// Retired shards that the head lists. More are left to [`collect`].
-const KEPT_RETIRED: usize = 256;
+/// Retired shards listed in the head. [`collect`] deletes the rest.
+const HEAD_RETIRED: usize = 256;
 
-/// Retired shards that one note deletes.
-const DELETED_SHARDS: usize = 4;
+/// Retired shards deleted per note.
+const DELETIONS_PER_NOTE: usize = 4;
 
 /// Result of accepting a note.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
@@ -60,7 +60,7 @@
         base: Revision,
         /// Revision in the store.
         present: Revision,
-        /// Notes accepted since the base, as far as the head remembers them.
+        /// Notes accepted since the base, as far as the head lists them.
         since: Vec<Accepted>,
     },
     /// The note does not fit the stored configuration.
@@ -76,19 +76,19 @@
         source: StoreError,
     },
     /// The answer to the head's update was lost and the head cannot be read back. The same note
-    /// may be applied again without harm.
+    /// can safely be sent again.
     #[snafu(display("whether the note is accepted cannot be told now: {source}"))]
-    Unsettled {
+    OutcomeUnknown {
         /// Error of the store.
         source: StoreError,
     },
     /// Reading failed.
     #[snafu(display("the configuration cannot be read: {source}"))]
-    Unread {
+    ReadFailed {
         /// Error of the store.
         source: StoreError,
     },
-    /// A stored object is not what it should be.
+    /// A stored object is malformed or altered.
     #[snafu(display("stored object {name} is damaged"))]
     Damaged {
         /// Name of the object.
@@ -96,7 +96,7 @@
     },
     /// The head kept changing while its shards were read.
     #[snafu(display("the stored configuration changes too fast to be read"))]
-    Unsteady,
+    HeadUnstable,
 }
 
 fn conflict(base: Revision, present: Revision, since: &[Accepted]) -> String {
@@ -109,7 +109,7 @@
     lines.join("\n")
 }
 
-/// The stored configuration as last read, with its parts for the next reading.
+/// The stored configuration as last read, with its decoded shards cached.
 #[derive(Clone, Debug, Default)]
 pub struct Known {
     version: Version,
@@ -155,16 +155,16 @@
 
 /// Reads the head, and the shards that `known` lacks, into `known`.
 ///
-/// A head with a lower revision than `known` is not taken in.
+/// A head with a lower revision than `known` is ignored.
 ///
 /// # Errors
 ///
-/// [`PublishError::Unread`], [`PublishError::Damaged`] or [`PublishError::Unsteady`]; `known` is
-/// then as before.
+/// [`PublishError::ReadFailed`], [`PublishError::Damaged`] or [`PublishError::HeadUnstable`];
+/// `known` is then unchanged.
 pub async fn fetch(store: &Store, known: &mut Known) -> Result<(), PublishError> {
-    for _ in 0..TRIES {
+    for _ in 0..MAX_ATTEMPTS {
         let object = store.get(ObjectKind::ConfigHead, HEAD_NAME).await;
-        let Some(object) = object.context(UnreadSnafu)? else {
+        let Some(object) = object.context(ReadFailedSnafu)? else {
             return Ok(());
         };
         if object.version <= known.version {
@@ -183,18 +183,18 @@
             return Ok(());
         }
     }
-    UnsteadySnafu.fail()
+    HeadUnstableSnafu.fail()
 }
 
-type Parts = BTreeMap<Digest, Arc<Items>>;
+type DecodedShards = BTreeMap<Digest, Arc<Items>>;
 
 /// The shards of `head`, or `None` if one was deleted because the head has changed since.
 async fn fetch_parts(
     store: &Store,
     head: &Head,
-    present: &Parts,
-) -> Result<Option<Parts>, PublishError> {
-    let mut parts = Parts::new();
+    present: &DecodedShards,
+) -> Result<Option<DecodedShards>, PublishError> {
+    let mut parts = DecodedShards::new();
     for ShardRef { digest, .. } in &head.shards {
         if let Some(part) = present.get(digest) {
             parts.insert(digest.clone(), part.clone());
@@ -202,7 +202,7 @@
         }
         let name = digest.as_str();
         let object = store.get(ObjectKind::ConfigShard, name).await;
-        let Some(text) = object.context(UnreadSnafu)?.and_then(|o| o.value) else {
+        let Some(text) = object.context(ReadFailedSnafu)?.and_then(|o| o.value) else {
             return Ok(None);
         };
         snafu::ensure!(
@@ -220,11 +220,11 @@
         .context(DamagedSnafu { name })
 }
 
-/// Makes `note` part of the stored configuration.
+/// Applies `note` to the stored configuration.
 ///
 /// # Errors
 ///
-/// Any [`PublishError`]. Only after `Unsettled` may the note have been accepted.
+/// Any [`PublishError`]. Only after `OutcomeUnknown` may the note have been accepted.
 pub async fn accept(
     store: &Store,
     note: &Note,
@@ -232,11 +232,11 @@
 ) -> Result<Acceptance, PublishError> {
     let digest = note.digest();
     let mut lost = None;
-    for _ in 0..TRIES {
+    for _ in 0..MAX_ATTEMPTS {
         match fetch(store, known).await {
             Ok(()) => {}
-            Err(PublishError::Unread { source }) if lost.is_some() => {
-                return Err(PublishError::Unsettled { source });
+            Err(PublishError::ReadFailed { source }) if lost.is_some() => {
+                return Err(PublishError::OutcomeUnknown { source });
             }
             Err(error) => return Err(error),
         }
@@ -247,23 +247,23 @@
             });
         }
         if note.base != known.revision() {
-            return Err(race(note, known));
+            return Err(race_error(note, known));
         }
         let next = note.apply(&known.config()).context(UnfitSnafu)?;
-        let shards = divided(&next)?;
+        let shards = divide_config(&next)?;
         let refs = write_shards(store, &shards, known)
             .await
             .context(NotAcceptedSnafu)?;
         let head = next_head(note, next.revision, refs, known);
         match write_head(store, &head, known.condition()).await {
             Ok(version) => {
-                let swept = std::mem::take(&mut known.head.retired);
+                let retired = std::mem::take(&mut known.head.retired);
                 *known = Known {
                     version,
                     head,
-                    parts: parts_of(&shards),
+                    parts: decode_shards(&shards),
                 };
-                sweep(store, &swept).await;
+                delete_retired(store, &retired).await;
                 return Ok(Acceptance {
                     revision: next.revision,
                     repeated: false,
@@ -275,12 +275,12 @@
         }
     }
     match lost {
-        Some(source) => Err(PublishError::Unsettled { source }),
-        None => Err(race(note, known)),
+        Some(source) => Err(PublishError::OutcomeUnknown { source }),
+        None => Err(race_error(note, known)),
     }
 }
 
-fn race(note: &Note, known: &Known) -> PublishError {
+fn race_error(note: &Note, known: &Known) -> PublishError {
     let since = known.head.notes.iter();
     PublishError::Race {
         base: note.base,
@@ -289,7 +289,7 @@
     }
 }
 
-fn divided(config: &Config) -> Result<Vec<Shard>, PublishError> {
+fn divide_config(config: &Config) -> Result<Vec<Shard>, PublishError> {
     let shards = shard::divide(config).ok();
     shards.context(DamagedSnafu { name: HEAD_NAME })
 }
@@ -305,12 +305,12 @@
         touched: touched(&note.rows()),
     });
     let is_used = |r: &&ShardRef| shards.iter().any(|s| s.digest == r.digest);
-    let left = old.retired.iter().skip(DELETED_SHARDS);
+    let listed = old.retired.iter().skip(DELETIONS_PER_NOTE);
     let dropped = old.shards.iter();
-    let retired = left.chain(dropped).filter(|r| !is_used(r));
+    let retired = listed.chain(dropped).filter(|r| !is_used(r));
     let mut retired: Vec<ShardRef> = retired.cloned().collect();
-    last(&mut notes, KEPT_NOTES);
-    last(&mut retired, KEPT_RETIRED);
+    keep_last(&mut notes, HEAD_NOTES);
+    keep_last(&mut retired, HEAD_RETIRED);
     Head {
         revision,
         shards,
@@ -320,20 +320,20 @@
 }
 
 fn touched(rows: &[Row]) -> Vec<String> {
-    let named = rows.iter().take(KEPT_ROWS);
+    let named = rows.iter().take(ROWS_PER_NOTE);
     let mut touched: Vec<String> = named.map(ToString::to_string).collect();
-    if rows.len() > KEPT_ROWS {
-        touched.push(format!("and {} more", rows.len() - KEPT_ROWS));
+    if rows.len() > ROWS_PER_NOTE {
+        touched.push(format!("and {} more", rows.len() - ROWS_PER_NOTE));
     }
     touched
 }
 
-fn last<T>(list: &mut Vec<T>, most: usize) {
+fn keep_last<T>(list: &mut Vec<T>, most: usize) {
     let extra = list.len().saturating_sub(most);
     list.drain(..extra);
 }
 
-fn parts_of(shards: &[Shard]) -> Parts {
+fn decode_shards(shards: &[Shard]) -> DecodedShards {
     let parts = shards.iter().filter_map(|s| {
         let items = serde_json::from_str(&s.text).ok()?;
         Some((s.digest.clone(), Arc::new(items)))
@@ -359,13 +359,13 @@
     Ok(refs)
 }
 
-/// Writes one shard, also if it exists, so that its version rises.
+/// Writes one shard, also if it exists, to raise its version.
 async fn write_shard(store: &Store, shard: &Shard) -> Result<ShardRef, StoreError> {
     let name = shard.digest.as_str();
     let mut condition = Condition::Absent;
-    let mut tries = 0;
+    let mut attempts = 0;
     loop {
-        tries += 1;
+        attempts += 1;
         let text = shard.text.clone();
         match store
             .put(ObjectKind::ConfigShard, name, condition, text)
@@ -377,10 +377,10 @@
                     version,
                 });
             }
-            Err(StoreError::Conflict { present }) if tries < SHARD_TRIES => {
+            Err(StoreError::Conflict { present }) if attempts < MAX_SHARD_ATTEMPTS => {
                 condition = present.map_or(Condition::Absent, Condition::Match);
             }
-            Err(StoreError::Unknown { .. }) if tries < SHARD_TRIES => {}
+            Err(StoreError::Unknown { .. }) if attempts < MAX_SHARD_ATTEMPTS => {}
             Err(error) => return Err(error),
         }
     }
@@ -398,8 +398,8 @@
 }
 
 /// Deletes the first of the `retired` shards. A failure leaves them to [`collect`].
-async fn sweep(store: &Store, retired: &[ShardRef]) {
-    for shard in retired.iter().take(DELETED_SHARDS) {
+async fn delete_retired(store: &Store, retired: &[ShardRef]) {
+    for shard in retired.iter().take(DELETIONS_PER_NOTE) {
         let name = shard.digest.as_str();
         let _ = store
             .delete(ObjectKind::ConfigShard, name, shard.version)
@@ -407,16 +407,16 @@
     }
 }
 
-/// Deletes at most `most` shards that failed notes have left, and returns their number.
+/// Deletes at most `most` shards left behind by failed notes and returns their number.
 ///
-/// A shard younger than the head may belong to a note that is just being accepted, so it stays.
+/// A shard newer than the head may belong to a note that is being accepted, so it stays.
 ///
 /// # Errors
 ///
 /// Any error of [`fetch`].
 pub async fn collect(store: &Store, most: usize) -> Result<usize, PublishError> {
     let listing = store.list(ObjectKind::ConfigShard).await;
-    let listing = listing.context(UnreadSnafu)?;
+    let listing = listing.context(ReadFailedSnafu)?;
     let mut known = Known::default();
     fetch(store, &mut known).await?;
     let is_kept = |name: &str| {
@@ -424,8 +424,8 @@
         refs.clone().any(|r| r.digest.as_str() == name)
     };
     let mut count = 0;
-    let left = listing.objects.iter().filter(|o| o.version < known.version);
-    for object in left.filter(|o| !is_kept(&o.name)).take(most) {
+    let older = listing.objects.iter().filter(|o| o.version < known.version);
+    for object in older.filter(|o| !is_kept(&o.name)).take(most) {
         let deleted = store.delete(ObjectKind::ConfigShard, &object.name, object.version);
         count += usize::from(deleted.await.is_ok());
     }
--- a/cornelstand/tests/agree/publish.rs
+++ b/cornelstand/tests/agree/publish.rs
@@ -24,7 +24,7 @@
 }
 
 /// A note that adds one account.
-fn adding(base: u64, name: &str) -> Note {
+fn note_adding(base: u64, name: &str) -> Note {
     let mut note = Note {
         title: format!("add {name}"),
         base: Revision(base),
@@ -46,8 +46,8 @@
 async fn an_accepted_note_is_stored_and_the_same_note_again_changes_nothing() {
     let (_api, store) = api();
     let mut known = Known::default();
-    let first = accept(&store, &adding(0, "kiosk"), &mut known).await;
-    let again = accept(&store, &adding(0, "kiosk"), &mut Known::default()).await;
+    let first = accept(&store, &note_adding(0, "kiosk"), &mut known).await;
+    let again = accept(&store, &note_adding(0, "kiosk"), &mut Known::default()).await;
     let first = first.expect("accepted");
     let again = again.expect("accepted before");
     assert_eq!((first.revision, first.repeated), (Revision(1), false));
@@ -58,13 +58,13 @@
 }
 
 #[tokio::test]
-async fn a_racing_note_is_told_what_differs() {
+async fn a_racing_note_is_refused_with_the_notes_since_its_base() {
     let (_api, store) = api();
     let mut known = Known::default();
-    accept(&store, &adding(0, "kiosk"), &mut known)
+    accept(&store, &note_adding(0, "kiosk"), &mut known)
         .await
         .expect("accepted");
-    let error = accept(&store, &adding(0, "tailor"), &mut Known::default()).await;
+    let error = accept(&store, &note_adding(0, "tailor"), &mut Known::default()).await;
     let error = error.expect_err("a race");
     insta::assert_snapshot!(error, @r#"
     the note is against revision 0, the store has 1
@@ -77,7 +77,7 @@
     let (_api, store) = api();
     let racers = (0..8).map(|index| {
         let store = store.clone();
-        let note = adding(0, &format!("a{index}"));
+        let note = note_adding(0, &format!("a{index}"));
         async move { accept(&store, &note, &mut Known::default()).await }
     });
     let results = futures::future::join_all(racers).await;
@@ -102,7 +102,7 @@
         ..ObjectFaults::default()
     });
     let mut known = Known::default();
-    let accepted = accept(&store, &adding(0, "kiosk"), &mut known).await;
+    let accepted = accept(&store, &note_adding(0, "kiosk"), &mut known).await;
     assert_eq!(accepted.expect("accepted").revision, Revision(1));
     assert_eq!(stored(&store).await.accounts.len(), 1);
 }
@@ -111,27 +111,27 @@
 async fn in_an_outage_nothing_is_accepted_and_the_refusal_says_so() {
     let (api, store) = api();
     let mut known = Known::default();
-    accept(&store, &adding(0, "kiosk"), &mut known)
+    accept(&store, &note_adding(0, "kiosk"), &mut known)
         .await
         .expect("accepted");
     api.set_faults(ObjectFaults {
         outage: Some(Outage::Refuse),
         ..ObjectFaults::default()
     });
-    let error = accept(&store, &adding(1, "tailor"), &mut known).await;
+    let error = accept(&store, &note_adding(1, "tailor"), &mut known).await;
     assert!(
-        matches!(error, Err(PublishError::Unread { .. })),
+        matches!(error, Err(PublishError::ReadFailed { .. })),
         "{error:?}"
     );
     api.set_faults(ObjectFaults::default());
-    let again = accept(&store, &adding(1, "tailor"), &mut known).await;
+    let again = accept(&store, &note_adding(1, "tailor"), &mut known).await;
     assert_eq!(again.expect("accepted").revision, Revision(2));
 }
 
 #[tokio::test]
 async fn an_inconsistent_note_writes_nothing() {
     let (api, store) = api();
-    let error = accept(&store, &adding(0, "No Name"), &mut Known::default()).await;
+    let error = accept(&store, &note_adding(0, "No Name"), &mut Known::default()).await;
     assert!(
         matches!(error, Err(PublishError::Unfit { .. })),
         "{error:?}"
@@ -159,7 +159,7 @@
         .expect("a listing");
     assert!(shards.objects.len() > 4, "{} shards", shards.objects.len());
     let before = api.counts();
-    accept(&store, &adding(1, "kiosk"), &mut known)
+    accept(&store, &note_adding(1, "kiosk"), &mut known)
         .await
         .expect("accepted");
     let after = api.counts();
@@ -180,7 +180,7 @@
     let (_api, store) = api();
     let mut known = Known::default();
     for revision in 0..12 {
-        let note = adding(revision, &format!("a{revision}"));
+        let note = note_adding(revision, &format!("a{revision}"));
         accept(&store, &note, &mut known).await.expect("accepted");
     }
     let shards = store
@@ -199,7 +199,7 @@
         0,
         "younger than the head"
     );
-    accept(&store, &adding(12, "last"), &mut known)
+    accept(&store, &note_adding(12, "last"), &mut known)
         .await
         .expect("accepted");
     assert_eq!(collect(&store, 10).await.expect("collected"), 1);
