--- a/cornelstand/src/revisions.rs
+++ b/cornelstand/src/revisions.rs
@@ -1,9 +1,9 @@
-//! The loop that brings accepted revisions into force at this instance.
+//! Loop that puts accepted revisions in force at this instance.
 //!
-//! A few instances, the first in the order of a rendezvous hash, wait for changes of the head
-//! in the store. The others learn of a revision by gossip and pull the notes that lead there from
-//! a peer that has them, or read the store if no peer answers. So the store's calls per note do
-//! not grow with the fleet. A revision in force only rises.
+//! A few instances, the first in the order of a rendezvous hash, watch the head in the store. The
+//! others learn of a revision by gossip and pull its notes from a peer that has them, or read the
+//! store if no peer answers. So the number of store calls per note does not grow with the fleet.
+//! The revision in force never decreases.
 
 use std::collections::VecDeque;
 use std::sync::Arc;
@@ -32,28 +32,28 @@
 /// Notes that an instance keeps for its peers.
 const KEPT_NOTES: usize = 64;
 
-/// Longest time that one watch waits.
-const WATCH: Duration = Duration::from_secs(30);
+/// Longest wait of one watch.
+const WATCH_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// Time between reads of the store by those that do not watch it, all of them together.
-const BACKSTOP: Duration = Duration::from_secs(30);
+/// Time between store reads by the instances that do not watch it, all taken together.
+const STORE_READ_PERIOD: Duration = Duration::from_secs(30);
 
-/// Time before another try after a failure.
-const RETRY: Duration = Duration::from_secs(1);
+/// Delay before a retry.
+const RETRY_DELAY: Duration = Duration::from_secs(1);
 
-/// Deadline of a pull from a peer.
-const PULL: Duration = Duration::from_secs(2);
+/// Timeout of a pull from a peer.
+const PULL_TIMEOUT: Duration = Duration::from_secs(2);
 
 /// Rounds of pulls before the store is read.
-const PULLS: usize = 8;
+const PULL_ROUNDS: usize = 8;
 
 /// Time between two rounds of pulls.
-const PULL_PAUSE: Duration = Duration::from_millis(300);
+const PULL_RETRY_DELAY: Duration = Duration::from_millis(300);
 
-/// Peers that a pull tries before it turns to the store.
-const PEERS: usize = 3;
+/// Peers asked in one round of pulls.
+const PULL_PEERS: usize = 3;
 
-/// What a peer gives to reach its revision.
+/// Update to the revision of a peer.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum ConfigUpdate {
@@ -65,7 +65,7 @@
 
 type PullCall = dyn Fn(Member, Revision) -> BoxFuture<'static, Option<ConfigUpdate>> + Send + Sync;
 
-/// What the loop needs from the outside.
+/// Dependencies of the loop.
 #[derive(Clone)]
 pub struct RevisionParts {
     /// The store.
@@ -74,13 +74,13 @@
     pub pull: Arc<PullCall>,
     /// The membership.
     pub members: watch::Receiver<Arc<Members>>,
-    /// Where the revision in force is told.
+    /// Receives the revision in force.
     pub fleet: Address<Membership>,
     /// Where revisions are recorded.
     pub timeline: Timeline,
 }
 
-/// The configuration in force and how it came about.
+/// The configuration in force and its latest notes.
 #[derive(Clone, Debug)]
 pub struct InForce {
     config: watch::Receiver<Arc<Config>>,
@@ -106,7 +106,7 @@
         let _ = self.ready.wait_for(|ready| *ready).await;
     }
 
-    /// What a peer with revision `after` needs, `None` if this instance has nothing higher.
+    /// Update for a peer at revision `after`, `None` if this instance has none higher.
     #[must_use]
     pub fn update(&self, after: Revision) -> Option<ConfigUpdate> {
         let config = self.config.borrow().clone();
@@ -173,7 +173,7 @@
         watchers.iter().any(|m| m.name == members.me().name)
     }
 
-    /// Finds the highest revision of store and peers.
+    /// Gets a revision from the store or a peer.
     async fn start(&mut self) {
         while !*self.ready.borrow() {
             let is_read = self.read_store().await;
@@ -181,66 +181,66 @@
             if is_read || is_pulled {
                 self.ready.send_replace(true);
             } else {
-                sleep(RETRY).await;
+                sleep(RETRY_DELAY).await;
             }
         }
     }
 
-    /// Waits for a change of the head in the store, or for word of one by gossip.
+    /// Waits for a new head in the store or gossip of a higher revision.
     async fn watch(&mut self) {
         let store = self.parts.store.clone();
         let after = self.known.version();
         let before = self.revision();
         let members = self.parts.members.clone();
-        let is_quiet = tokio::select! {
-            listing = store.watch(ObjectKind::ConfigHead, after, WATCH) => {
+        let is_unchanged = tokio::select! {
+            listing = store.watch(ObjectKind::ConfigHead, after, WATCH_TIMEOUT) => {
                 listing.is_ok_and(|l| l.objects.is_empty())
             }
-            () = heard(members, before) => false,
+            () = announced(members, before) => false,
         };
-        if is_quiet {
+        if is_unchanged {
             return;
         }
         if !self.read_store().await {
             self.pull().await;
         }
-        self.pause(before).await;
+        self.back_off(before).await;
     }
 
-    /// Waits until the gossip tells of a higher revision and pulls it.
+    /// Waits for gossip of a higher revision and pulls it.
     async fn follow(&mut self) {
         let before = self.revision();
         let members = self.parts.members.clone();
         let others = members.borrow().live().count().max(1);
-        let wait = BACKSTOP * u32::try_from(others).unwrap_or(u32::MAX);
-        let is_heard = timeout(wait, heard(members, before)).await.is_ok();
-        if is_heard && self.pull_soon().await {
+        let wait = STORE_READ_PERIOD * u32::try_from(others).unwrap_or(u32::MAX);
+        let is_announced = timeout(wait, announced(members, before)).await.is_ok();
+        if is_announced && self.pull_with_retries().await {
             return;
         }
         self.read_store().await;
-        self.pause(before).await;
+        self.back_off(before).await;
     }
 
-    /// Asks peers until one has what the gossip told of, a few times. Word of a revision travels
-    /// ahead of the revision itself, and reads of the store are to be few.
-    async fn pull_soon(&mut self) -> bool {
-        for _ in 0..PULLS {
+    /// Pulls several times until a peer has a higher revision. Gossip announces a revision before
+    /// most peers have it, and store reads have to stay few.
+    async fn pull_with_retries(&mut self) -> bool {
+        for _ in 0..PULL_ROUNDS {
             if self.pull().await {
                 return true;
             }
-            sleep(PULL_PAUSE).await;
+            sleep(PULL_RETRY_DELAY).await;
         }
         false
     }
 
-    /// Waits before another try if there is still nothing above `before`.
-    async fn pause(&self, before: Revision) {
+    /// Waits before a retry if the revision is still `before`.
+    async fn back_off(&self, before: Revision) {
         if self.revision() == before {
-            sleep(RETRY).await;
+            sleep(RETRY_DELAY).await;
         }
     }
 
-    /// Reads the store and tells whether it answered.
+    /// Reads the store; returns whether it answered.
     async fn read_store(&mut self) -> bool {
         match fetch(&self.parts.store, &mut self.known).await {
             Ok(()) => {
@@ -255,20 +255,20 @@
                 true
             }
             Err(error) => {
-                tracing::debug!(%error, "the store gave no configuration");
+                tracing::debug!(%error, "failed to read the configuration from the store");
                 false
             }
         }
     }
 
-    /// Asks a few peers that should have a higher revision; tells whether one had it.
+    /// Asks a few peers for a higher revision; returns whether one had it.
     async fn pull(&mut self) -> bool {
         for peer in self.peers() {
             let call = (self.parts.pull)(peer, self.revision());
-            let Ok(Some(update)) = timeout(PULL, call).await else {
+            let Ok(Some(update)) = timeout(PULL_TIMEOUT, call).await else {
                 continue;
             };
-            if let Some(config) = self.updated(update) {
+            if let Some(config) = self.apply_update(update) {
                 self.put_in_force(config).await;
                 return true;
             }
@@ -276,7 +276,7 @@
         false
     }
 
-    /// Random peers, those that are known to have a higher revision first.
+    /// Random peers, those known to have a higher revision first.
     fn peers(&self) -> Vec<Member> {
         let members = self.parts.members.borrow();
         let me = &members.me().name;
@@ -285,13 +285,18 @@
         let (ahead, rest): (Vec<&Member>, Vec<&Member>) =
             others.into_iter().partition(|m| m.revision > now);
         let mut random = rand::rng();
-        let first = ahead.sample(&mut random, PEERS);
+        let first = ahead.sample(&mut random, PULL_PEERS);
         let first: Vec<&Member> = first.copied().collect();
-        let then = rest.sample(&mut random, PEERS).copied();
-        first.into_iter().chain(then).take(PEERS).cloned().collect()
+        let then = rest.sample(&mut random, PULL_PEERS).copied();
+        first
+            .into_iter()
+            .chain(then)
+            .take(PULL_PEERS)
+            .cloned()
+            .collect()
     }
 
-    fn updated(&self, update: ConfigUpdate) -> Option<Config> {
+    fn apply_update(&self, update: ConfigUpdate) -> Option<Config> {
         let present = self.config.borrow().clone();
         let config = match update {
             ConfigUpdate::Whole(config) => *config,
@@ -318,7 +323,7 @@
         let _ = self.parts.fleet.send(PutInForce(revision)).await;
     }
 
-    /// Keeps the step to `next` for peers, as one note if it is one revision.
+    /// Keeps the note to `next` for peers, or drops all if it skips revisions.
     fn keep_note(&self, present: &Config, next: &Config) {
         self.notes.send_modify(|notes| {
             if next.revision.0 != present.revision.0 + 1 {
@@ -334,8 +339,8 @@
     }
 }
 
-/// Waits until the gossip tells of a revision above `present`.
-async fn heard(mut members: watch::Receiver<Arc<Members>>, present: Revision) {
+/// Waits for gossip of a revision above `present`.
+async fn announced(mut members: watch::Receiver<Arc<Members>>, present: Revision) {
     if members.wait_for(|m| m.revision() > present).await.is_err() {
         std::future::pending::<()>().await;
     }
