--- a/cornelstand/src/note.rs
+++ b/cornelstand/src/note.rs
@@ -1,8 +1,8 @@
 //! Release notes: what operators add, change and withdraw, against a base revision.
 //!
 //! A note is written as JSON with comments and kept in version control. [`Note::apply`] is pure:
-//! it gives the next configuration or all the places where the note does not fit. [`plan`] goes
-//! the other way, from a declared whole state to the note that leads there.
+//! it returns the next configuration or every inconsistency of the note. [`plan`] is the reverse:
+//! it returns the note that leads to a declared state.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::fmt;
@@ -22,7 +22,7 @@
 #[derive(Clone, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct Note {
-    /// What the note is for, one line.
+    /// One-line summary of the note.
     pub title: String,
     /// Revision that the note was written against.
     pub base: Revision,
@@ -32,7 +32,7 @@
     /// Items that replace those of the same name.
     #[serde(default)]
     pub changed: Items,
-    /// Names of items that go.
+    /// Names of removed items.
     #[serde(default)]
     pub withdrawn: Names,
 }
@@ -110,7 +110,7 @@
     }
 }
 
-/// Error of reading a note or fitting it to a configuration.
+/// Error of parsing or applying a note.
 #[derive(Debug, Snafu)]
 pub enum NoteError {
     /// The text is not a note.
@@ -128,14 +128,14 @@
         present: Revision,
     },
     /// The note does not fit the configuration.
-    #[snafu(display("{}", listed(problems)))]
+    #[snafu(display("{}", join_problems(problems)))]
     Inconsistent {
-        /// All that does not fit, by place.
+        /// All inconsistencies, by place.
         problems: Vec<NoteProblem>,
     },
 }
 
-/// One reason why a note does not fit.
+/// One inconsistency of a note.
 #[derive(Clone, Debug, Display, Eq, PartialEq)]
 #[display("{place}: {reason}")]
 pub struct NoteProblem {
@@ -145,7 +145,7 @@
     pub reason: Reason,
 }
 
-/// Why an item does not fit.
+/// Cause of an inconsistency.
 #[derive(Clone, Debug, Display, Eq, IsVariant, PartialEq)]
 pub enum Reason {
     /// The name is not valid.
@@ -192,7 +192,7 @@
     NoTitle,
 }
 
-fn listed(problems: &[NoteProblem]) -> String {
+fn join_problems(problems: &[NoteProblem]) -> String {
     let lines: Vec<String> = problems.iter().map(ToString::to_string).collect();
     lines.join("\n")
 }
@@ -214,7 +214,7 @@
         Digest::of(&bytes)
     }
 
-    /// Tells whether the note adds, changes and withdraws nothing.
+    /// Whether the note adds, changes and withdraws nothing.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         self.rows().is_empty()
@@ -225,7 +225,7 @@
     /// # Errors
     ///
     /// [`NoteError::Base`] if `config` has another revision than the note's base,
-    /// [`NoteError::Inconsistent`] with everything that does not fit.
+    /// [`NoteError::Inconsistent`] with every inconsistency.
     pub fn apply(&self, config: &Config) -> Result<Config, NoteError> {
         ensure!(
             self.base == config.revision,
@@ -245,28 +245,28 @@
             kind: "",
         };
         edit.kind = "accounts";
-        edit.run(
+        edit.apply(
             &mut next.accounts,
             &added.accounts,
             &changed.accounts,
             &withdrawn.accounts,
         );
         edit.kind = "services";
-        edit.run(
+        edit.apply(
             &mut next.services,
             &added.services,
             &changed.services,
             &withdrawn.services,
         );
         edit.kind = "endpoints";
-        edit.run(
+        edit.apply(
             &mut next.endpoints,
             &added.endpoints,
             &changed.endpoints,
             &withdrawn.endpoints,
         );
         edit.kind = "centres";
-        edit.run(
+        edit.apply(
             &mut next.centres,
             &added.centres,
             &changed.centres,
@@ -278,7 +278,7 @@
         Ok(next)
     }
 
-    /// What the note does, a row for each item, withdrawn ones first.
+    /// One row for each item of the note, withdrawn ones first.
     #[must_use]
     pub fn rows(&self) -> Vec<Row> {
         let mut rows = Vec::new();
@@ -293,7 +293,7 @@
     }
 }
 
-/// One item that a note touches.
+/// One item of a note.
 #[derive(Clone, Debug, Deserialize, Display, Eq, PartialEq, Serialize)]
 #[display("{action} {place}")]
 pub struct Row {
@@ -313,7 +313,7 @@
     /// The item is replaced.
     #[display("~")]
     Changed,
-    /// The item goes.
+    /// The item is removed.
     #[display("-")]
     Withdrawn,
 }
@@ -355,14 +355,14 @@
     }
 }
 
-/// Edits one kind's map and notes what does not fit.
+/// Edits the map of one kind and collects problems.
 struct Edit<'a> {
     problems: &'a mut Vec<NoteProblem>,
     kind: &'static str,
 }
 
 impl Edit<'_> {
-    fn run<K: Ord + Clone + fmt::Display, V: Clone>(
+    fn apply<K: Ord + Clone + fmt::Display, V: Clone>(
         &mut self,
         map: &mut BTreeMap<K, V>,
         added: &BTreeMap<K, V>,
@@ -371,21 +371,21 @@
     ) {
         let present: BTreeSet<K> = map.keys().cloned().collect();
         for name in withdrawn {
-            self.must(present.contains(name), "withdrawn", name, Reason::Missing);
+            self.require(present.contains(name), "withdrawn", name, Reason::Missing);
             map.remove(name);
         }
         for (name, item) in changed {
-            self.must(present.contains(name), "changed", name, Reason::Missing);
-            self.must(!withdrawn.contains(name), "changed", name, Reason::Twice);
+            self.require(present.contains(name), "changed", name, Reason::Missing);
+            self.require(!withdrawn.contains(name), "changed", name, Reason::Twice);
             map.insert(name.clone(), item.clone());
         }
         for (name, item) in added {
-            self.must(!present.contains(name), "added", name, Reason::Exists);
+            self.require(!present.contains(name), "added", name, Reason::Exists);
             map.insert(name.clone(), item.clone());
         }
     }
 
-    fn must(&mut self, holds: bool, part: &str, name: &impl fmt::Display, reason: Reason) {
+    fn require(&mut self, holds: bool, part: &str, name: &impl fmt::Display, reason: Reason) {
         if !holds {
             let place = format!("{part}.{}.{name}", self.kind);
             self.problems.push(NoteProblem { place, reason });
@@ -395,7 +395,7 @@
 
 /// The note that leads from `present` to `declared`.
 ///
-/// The revision of `declared` is of no matter; the note's base is that of `present`.
+/// The revision of `declared` is ignored; the note's base is that of `present`.
 #[must_use]
 pub fn plan(title: &str, declared: &Config, present: &Config) -> Note {
     let mut note = Note {
