--- a/cornelstand/src/store.rs
+++ b/cornelstand/src/store.rs
@@ -16,7 +16,7 @@
 use serde::{Deserialize, Serialize};
 use snafu::{OptionExt, ResultExt, Snafu};
 
-/// Most bytes of one object's value.
+/// Maximum size of a value in bytes.
 pub const VALUE_BYTES: usize = 1 << 20;
 
 /// Version of an object.
@@ -84,7 +84,7 @@
         /// Version of the present object, if one exists.
         present: Option<Version>,
     },
-    /// The store did not take the call. Nothing was written.
+    /// The store rejected the call. Nothing was written.
     #[snafu(display("the store refused the call with status {status}"))]
     Refused {
         /// Status of the answer.
@@ -116,7 +116,7 @@
     },
 }
 
-/// Client of the object API, with a count of its calls.
+/// Client of the object API, with a call counter.
 #[derive(Clone, Debug)]
 pub struct Store {
     http: reqwest::Client,
@@ -130,7 +130,7 @@
     ///
     /// # Panics
     ///
-    /// If the HTTP client cannot be set up, which takes no input.
+    /// If the HTTP client cannot be built; no input affects it.
     #[must_use]
     pub fn new(address: SocketAddr, timeout: Duration) -> Self {
         let http = reqwest::Client::builder()
@@ -163,7 +163,7 @@
         if answer.status() == StatusCode::NOT_FOUND {
             return Ok(None);
         }
-        let answer = accepted(answer)?;
+        let answer = check_status(answer)?;
         let version = version_of(&answer)?;
         let value = answer.text().await.context(UnknownSnafu)?;
         Ok(Some(Object {
@@ -180,7 +180,7 @@
     /// Any [`StoreError`] but `Conflict` and `TooLarge`.
     pub async fn list(&self, kind: ObjectKind) -> Result<Listing, StoreError> {
         let request = self.http.get(format!("{}/{kind}", self.base));
-        let answer = accepted(self.call(request, self.timeout).await?)?;
+        let answer = check_status(self.call(request, self.timeout).await?)?;
         answer.json().await.context(UnknownSnafu)
     }
 
@@ -201,7 +201,7 @@
             wait.as_millis()
         );
         let request = self.http.get(url);
-        let answer = accepted(self.call(request, wait + self.timeout).await?)?;
+        let answer = check_status(self.call(request, wait + self.timeout).await?)?;
         answer.json().await.context(UnknownSnafu)
     }
 
@@ -209,7 +209,7 @@
     ///
     /// # Errors
     ///
-    /// Any [`StoreError`]. After `Unknown` the caller has to read back what is there.
+    /// Any [`StoreError`]. After `Unknown` the caller has to read the object back.
     pub async fn put(
         &self,
         kind: ObjectKind,
@@ -223,9 +223,9 @@
         let request = self.http.put(self.url(kind, name)).body(value);
         let request = match condition {
             Condition::Absent => request.header(IF_NONE_MATCH, "*"),
-            Condition::Match(version) => request.header(IF_MATCH, quoted(version)),
+            Condition::Match(version) => request.header(IF_MATCH, entity_tag(version)),
         };
-        let answer = accepted(self.call(request, self.timeout).await?)?;
+        let answer = check_status(self.call(request, self.timeout).await?)?;
         version_of(&answer)
     }
 
@@ -241,8 +241,8 @@
         version: Version,
     ) -> Result<(), StoreError> {
         let request = self.http.delete(self.url(kind, name));
-        let request = request.header(IF_MATCH, quoted(version));
-        accepted(self.call(request, self.timeout).await?).map(drop)
+        let request = request.header(IF_MATCH, entity_tag(version));
+        check_status(self.call(request, self.timeout).await?).map(drop)
     }
 
     fn url(&self, kind: ObjectKind, name: &str) -> String {
@@ -261,11 +261,11 @@
     }
 }
 
-fn quoted(version: Version) -> String {
+fn entity_tag(version: Version) -> String {
     format!("\"{version}\"")
 }
 
-fn accepted(answer: Response) -> Result<Response, StoreError> {
+fn check_status(answer: Response) -> Result<Response, StoreError> {
     let status = answer.status();
     if status == StatusCode::PRECONDITION_FAILED {
         let present = version_of(&answer).ok();
