--- a/cornelstand/src/unique.rs
+++ b/cornelstand/src/unique.rs
@@ -1,7 +1,7 @@
-//! Maps that refuse a key given twice.
+//! Maps that reject duplicate keys.
 //!
-//! A plain map silently keeps the last of two equal keys, which in a hand-written file hides a
-//! slip. Items of release notes are read through [`map`].
+//! A plain map silently keeps the last of two equal keys, which hides mistakes in hand-written
+//! files. Items of release notes are deserialized with [`map`].
 
 use std::collections::BTreeMap;
 use std::fmt::{self, Display};
@@ -9,7 +9,7 @@
 
 use serde::de::{Deserialize, Deserializer, Error, MapAccess, Visitor};
 
-/// Reads a map whose keys differ.
+/// Reads a map of unique keys.
 pub(crate) fn map<'de, D, K, V>(input: D) -> Result<BTreeMap<K, V>, D::Error>
 where
     D: Deserializer<'de>,
