--- a/cornelstand/src/config.rs
+++ b/cornelstand/src/config.rs
@@ -1,8 +1,8 @@
 //! The configuration in force: accounts, services, endpoints and data centres of one revision.
 //!
 //! It is built from accepted release notes only (see `note`). Everything that several instances
-//! have to agree on without talking, such as the cells of a service and their endpoints, is a
-//! query on a [`Config`], so that equal revisions give equal answers.
+//! have to agree on without communication, such as the cells of a service and their endpoints, is
+//! a pure function of a [`Config`], so that equal revisions give equal results.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -36,12 +36,12 @@
     pub share: u32,
     /// SHA-256 hashes of the account's keys, in hexadecimal.
     pub keys: Vec<String>,
-    /// Most requests that may wait at one cell.
+    /// Maximum requests queued at one cell.
     #[serde(default = "default_queue")]
     pub queue: u32,
 }
 
-/// Requests that may wait at one cell when the account states no number.
+/// Queue limit of an account that sets none.
 fn default_queue() -> u32 {
     256
 }
@@ -72,7 +72,7 @@
     pub estimate: u64,
 }
 
-/// Cells of a service that states no number.
+/// Cells of a service that sets no number.
 fn default_cells() -> u16 {
     1
 }
@@ -83,7 +83,7 @@
 pub struct Route {
     /// Start of the path, after the service's name, beginning with a slash.
     pub prefix: String,
-    /// Order inside an account.
+    /// Priority in the account.
     #[serde(default)]
     pub class: Class,
     /// Whether a call may be repeated.
@@ -91,13 +91,13 @@
     pub repeat: Repeat,
 }
 
-/// Order of a call among those of its account.
+/// Priority of a call within its account.
 #[derive(
     Clone, Copy, Debug, Default, Deserialize, Eq, IsVariant, Ord, PartialEq, PartialOrd, Serialize,
 )]
 #[serde(rename_all = "kebab-case")]
 pub enum Class {
-    /// Someone waits for the answer.
+    /// A user waits for the answer.
     #[default]
     Interactive,
     /// The answer may come later.
@@ -108,7 +108,7 @@
 #[derive(Clone, Copy, Debug, Default, Deserialize, Eq, IsVariant, PartialEq, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Repeat {
-    /// Repeating the call does no harm.
+    /// The call is safe to repeat.
     Idempotent,
     /// The call runs at most once and needs an idempotency key.
     #[default]
@@ -123,13 +123,13 @@
     pub service: ServiceName,
     /// The data centre.
     pub centre: CentreName,
-    /// Address by IP number.
+    /// IP address and port.
     pub address: SocketAddr,
-    /// Requests at once that a cold endpoint bears, at least 1.
+    /// Concurrency limit of a cold endpoint, at least 1.
     pub cold: u32,
-    /// Requests at once that a warm endpoint bears, at least `cold`.
+    /// Concurrency limit of a warm endpoint, at least `cold`.
     pub warm: u32,
-    /// Answers that a cold endpoint gives until it is warm.
+    /// Answers after which a cold endpoint is warm.
     #[serde(default)]
     pub ramp: u32,
 }
@@ -157,7 +157,7 @@
             .map_or_else(Default::default, |r| (r.class, r.repeat))
     }
 
-    /// Tells whether `centre` takes new work. An unknown data centre does not.
+    /// Whether `centre` takes new work. An unknown data centre does not.
     #[must_use]
     pub fn is_centre_in(&self, centre: &CentreName) -> bool {
         self.centres.get(centre).is_some_and(|c| !c.out)
@@ -165,8 +165,8 @@
 
     /// The cell of `endpoint`, or `None` if its service is not configured.
     ///
-    /// Endpoints are dealt to cells in the order of their names, so that cells differ by at most
-    /// one endpoint and a data centre's endpoints spread over all of them.
+    /// Endpoints are assigned round-robin in the order of their names, so that cells differ by at
+    /// most one endpoint and a data centre's endpoints spread over all cells.
     #[must_use]
     pub fn cell_of(&self, endpoint: &EndpointName) -> Option<CellId> {
         let service = &self.endpoints.get(endpoint)?.service;
