--- a/cornelstand/src/exchange.rs
+++ b/cornelstand/src/exchange.rs
@@ -1,10 +1,10 @@
-//! Service that the cells of one service have given, told among them.
+//! Exchange of fair-queue totals between the cells of one service.
 //!
 //! Each cell tells the others, at most once per [`PERIOD`], how much service it has given to its
-//! backlogged accounts. A receiver adds what has come since to the counters of accounts that are
-//! backlogged at itself too, so that an account with work at several cells has one place in the
-//! order. The messages carry running totals: what one message lacks, be it lost, repeated or over
-//! the size limit, is in a later one.
+//! backlogged accounts. A receiver adds the increase to the counters of accounts that are
+//! backlogged there too, so that an account with work at several cells is ordered by its total.
+//! The messages carry running totals, so a later one makes up for one that was lost, repeated or
+//! cut to the size limit.
 
 use std::collections::HashMap;
 use std::time::Duration;
@@ -15,14 +15,14 @@
 use crate::moment::Moment;
 use crate::name::{AccountName, CellId, Epoch};
 
-/// Shortest time between two messages of a cell.
+/// Shortest interval between messages of a cell.
 pub(crate) const PERIOD: Duration = Duration::from_secs(1);
 
-/// Most accounts in one message. Those whose totals changed most go first.
+/// Maximum accounts per message. Those whose totals changed most go first.
 const MESSAGE_ACCOUNTS: usize = 500;
 
-/// Time without a message after which the totals of an account are forgotten.
-const STALE: Duration = Duration::from_secs(5);
+/// Age at which the totals received for an account are dropped.
+const TOTALS_LIFETIME: Duration = Duration::from_secs(5);
 
 /// Service that one cell has given since its owner started.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
@@ -44,44 +44,44 @@
     pub service: u64,
 }
 
-/// Total of an account at another cell when it last came.
+/// Last total received for an account at another cell.
 #[derive(Debug)]
-struct Seen {
+struct Received {
     epoch: Epoch,
     service: u64,
     at: Moment,
 }
 
-/// What one cell has told and heard.
+/// Totals one cell sent and received.
 #[derive(Debug, Default)]
 pub(crate) struct Exchange {
     due: Moment,
-    told: HashMap<AccountId, u64>,
-    seen: HashMap<(CellId, AccountName), Seen>,
+    sent: HashMap<AccountId, u64>,
+    received: HashMap<(CellId, AccountName), Received>,
 }
 
 impl Exchange {
-    /// When the next message may go.
+    /// When the next message is due.
     pub(crate) fn due(&self) -> Moment {
         self.due
     }
 
-    /// The totals that changed, if a message may go and there are any.
+    /// The totals that changed, if a message is due and any did.
     pub(crate) fn tell(&mut self, now: Moment, queue: &FairQueue) -> Vec<Total> {
         if now < self.due || queue.is_empty() {
             return Vec::new();
         }
         self.due = now.after(PERIOD);
         let backlogged = queue.backlogged().map(|id| (id, queue.given(id)));
-        let known = |id| self.told.get(&id).copied().unwrap_or(0);
-        let changes = backlogged.map(|(id, given)| (given.wrapping_sub(known(id)), id, given));
+        let last_sent = |id| self.sent.get(&id).copied().unwrap_or(0);
+        let changes = backlogged.map(|(id, given)| (given.wrapping_sub(last_sent(id)), id, given));
         let mut changes: Vec<_> = changes.filter(|(change, ..)| *change != 0).collect();
         changes.sort_unstable_by_key(|(change, id, _)| {
             (std::cmp::Reverse(change.cast_signed().unsigned_abs()), *id)
         });
         changes.truncate(MESSAGE_ACCOUNTS);
-        self.told.retain(|id, _| queue.waiting_of(*id) > 0);
-        self.told
+        self.sent.retain(|id, _| queue.waiting_of(*id) > 0);
+        self.sent
             .extend(changes.iter().map(|(_, id, given)| (*id, *given)));
         let totals = changes.into_iter().map(|(_, id, service)| Total {
             account: queue.name(id).clone(),
@@ -92,25 +92,26 @@
 
     /// Adds the service that another cell has given since its last message.
     pub(crate) fn hear(&mut self, now: Moment, totals: Totals, queue: &mut FairQueue) {
-        self.seen.retain(|_, seen| now.since(seen.at) < STALE);
+        self.received
+            .retain(|_, received| now.since(received.at) < TOTALS_LIFETIME);
         for total in totals.accounts {
-            let seen = Seen {
+            let received = Received {
                 epoch: totals.epoch,
                 service: total.service,
                 at: now,
             };
             let id = queue.find(&total.account);
             let key = (totals.cell.clone(), total.account);
-            let Some(last) = self.seen.get_mut(&key) else {
-                self.seen.insert(key, seen);
+            let Some(last) = self.received.get_mut(&key) else {
+                self.received.insert(key, received);
                 continue;
             };
             let change = total.service.wrapping_sub(last.service).cast_signed();
-            let follows = last.epoch == totals.epoch;
+            let is_same_epoch = last.epoch == totals.epoch;
             if totals.epoch >= last.epoch {
-                *last = seen;
+                *last = received;
             }
-            if let Some(id) = id.filter(|id| follows && queue.waiting_of(*id) > 0) {
+            if let Some(id) = id.filter(|id| is_same_epoch && queue.waiting_of(*id) > 0) {
                 queue.shift(id, change);
             }
         }
