--- a/cornelstand/src/name.rs
+++ b/cornelstand/src/name.rs
@@ -1,7 +1,7 @@
-//! Names and numbers that identify things: accounts, services, endpoints, requests, epochs.
+//! Identifier types: accounts, services, endpoints, requests, epochs and others.
 //!
-//! Every identity has its own type, so that two of them cannot be mixed up. Textual names share
-//! their storage: a clone is a reference count, not a copy of the text.
+//! Each kind of identifier has its own type, so that two of them cannot be confused. Text names
+//! share their storage: a clone increments a reference count and copies no text.
 
 use std::borrow::Cow;
 use std::sync::Arc;
@@ -13,7 +13,7 @@
 /// Longest accepted name, in bytes.
 pub const NAME_BYTES: usize = 63;
 
-/// Tells whether `text` is 1 to [`NAME_BYTES`] lowercase letters, digits, dots, hyphens or
+/// Whether `text` is 1 to [`NAME_BYTES`] lowercase letters, digits, dots, hyphens or
 /// underscores.
 #[must_use]
 pub fn is_name(text: &str) -> bool {
@@ -65,7 +65,7 @@
     EndpointName;
     /// A data centre.
     CentreName;
-    /// One of the fleet's own instances.
+    /// An instance of the fleet.
     InstanceName;
 }
 
@@ -84,11 +84,11 @@
 numbers! {
     /// Number of a configuration. A higher one replaces a lower one.
     Revision(u64);
-    /// Fencing number of a cell's ownership. Messages with a lower one are refused.
+    /// Fencing token of a cell's ownership. Messages with a lower one are refused.
     Epoch(u64);
     /// Start of an instance's process, in microseconds since the Unix epoch.
     Incarnation(u64);
-    /// Start of an endpoint's process, as the endpoint itself names it.
+    /// Start of an endpoint's process, as the endpoint reports it.
     BootId(u64);
     /// Hash of account, route and body, by which a repeated request is recognised.
     Fingerprint(u64);
@@ -96,7 +96,7 @@
 
 /// Identity of one caller's request, unique over the fleet.
 ///
-/// In text formats it is 32 hexadecimal digits, since many readers of JSON lose digits of large
+/// In text formats it is 32 hexadecimal digits, since many JSON parsers lose digits of large
 /// numbers.
 #[derive(Clone, Copy, Debug, Display, Eq, From, Hash, Into, Ord, PartialEq, PartialOrd)]
 #[display("{_0:032x}")]
@@ -123,7 +123,7 @@
     }
 }
 
-/// One try of a request: the identity of a grant and of its outcome.
+/// An attempt of a request: the identity of a grant and its outcome.
 #[derive(
     Clone, Copy, Debug, Deserialize, Display, Eq, Hash, Ord, PartialEq, PartialOrd, Serialize,
 )]
@@ -131,7 +131,7 @@
 pub struct AttemptId {
     /// The request.
     pub request: RequestId,
-    /// Counts the tries of the request from 0.
+    /// Index of the attempt, from 0.
     pub number: u32,
 }
 
@@ -141,6 +141,6 @@
 pub struct CellId {
     /// The service.
     pub service: ServiceName,
-    /// Counts the cells of the service from 0.
+    /// Index of the cell, from 0.
     pub index: u16,
 }
