--- a/cornelstand/src/status.rs
+++ b/cornelstand/src/status.rs
@@ -1,4 +1,4 @@
-//! What an instance tells operators about itself.
+//! Status that an instance reports to operators.
 
 use serde::{Deserialize, Serialize};
 
@@ -16,7 +16,7 @@
     /// It takes requests.
     #[display("ready")]
     Ready,
-    /// It ends those it has and takes no more.
+    /// It completes running requests only.
     #[display("draining")]
     Draining,
 }
@@ -34,7 +34,7 @@
     pub readiness: Readiness,
     /// Revision in force.
     pub revision: Revision,
-    /// Requests of callers that it holds.
+    /// Client requests in progress.
     pub requests: usize,
     /// Bytes on links between instances.
     pub traffic: TrafficStatus,
@@ -75,7 +75,7 @@
     pub instance: InstanceName,
     /// Its state, such as `live` or `suspect`.
     pub state: String,
-    /// Highest revision it has told.
+    /// Last known revision in force.
     pub revision: Revision,
 }
 
