--- a/cornelstand/src/moment.rs
+++ b/cornelstand/src/moment.rs
@@ -1,7 +1,7 @@
-//! Time as the decision logic sees it.
+//! Time of the state machines.
 //!
-//! The state machines take a [`Moment`] with every event and read no clock. The shell around
-//! them takes it from [`Clock`], which follows the paused time of tests.
+//! The state machines take a [`Moment`] with every event and read no clock. The actors around
+//! them take it from [`Clock`], which follows the paused time of tests.
 
 use std::time::Duration;
 
