--- a/cornelstand/tests/agree/ring.rs
+++ b/cornelstand/tests/agree/ring.rs
@@ -1,4 +1,4 @@
-//! A few lease machines around one object, with every fault the network and store can have.
+//! Simulation of lease state machines that share one object, with network and store faults.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -11,15 +11,15 @@
 /// Time between two steps.
 pub(crate) const STEP: Duration = Duration::from_millis(100);
 
-/// Limit of an endpoint in the sums, odd so that the halves differ.
+/// Endpoint limit in the check, odd so that the halves differ.
 const LIMIT: u32 = 7;
 
 /// What happens to a message or call.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub(crate) enum Fate {
-    /// It arrives after so many steps, and so does the reply.
+    /// Request and reply each arrive after this many steps.
     Arrive(u64),
-    /// The request arrives after so many steps; the reply is lost.
+    /// The request takes this many steps; the reply is lost.
     LoseReply(u64),
     /// Nothing arrives.
     Lose,
@@ -34,9 +34,9 @@
 }
 
 #[derive(Clone, Debug)]
-struct Post {
+struct Delivery {
     at: u64,
-    /// Index of the instance it comes from, for a call, or goes to.
+    /// Sender of a store call, recipient of any other item.
     node: usize,
     incarnation: u64,
     item: Item,
@@ -51,7 +51,7 @@
     pub(crate) paused_until: u64,
     pub(crate) has_store: bool,
     pub(crate) is_draining: bool,
-    /// Rate of its clock in hundredths.
+    /// Clock rate in hundredths.
     pub(crate) rate: u64,
     tenure: Option<Tenure>,
 }
@@ -61,9 +61,9 @@
     pub(crate) nodes: Vec<Node>,
     pub(crate) step: u64,
     pub(crate) is_store_up: bool,
-    /// Pairs that cannot talk.
+    /// Disconnected pairs.
     pub(crate) cut: BTreeSet<(usize, usize)>,
-    /// Whether the instance list works, the proof that a process has ended.
+    /// Whether the instance list works, which proves that a process ended.
     pub(crate) is_list_up: bool,
     pub(crate) object: Option<(Version, Lease)>,
     pub(crate) calls: u64,
@@ -71,7 +71,7 @@
     ended: BTreeSet<Holder>,
     epochs: BTreeMap<Epoch, usize>,
     version: u64,
-    posts: Vec<Post>,
+    deliveries: Vec<Delivery>,
     starts: u64,
 }
 
@@ -96,17 +96,17 @@
             ended: BTreeSet::new(),
             epochs: BTreeMap::new(),
             version: 0,
-            posts: Vec::new(),
+            deliveries: Vec::new(),
             starts: 0,
         };
         for index in 0..count {
-            let node = ring.fresh(index);
+            let node = ring.new_node(index);
             ring.nodes.push(node);
         }
         ring
     }
 
-    fn fresh(&mut self, index: usize) -> Node {
+    fn new_node(&mut self, index: usize) -> Node {
         self.starts += 1;
         let holder = Holder {
             name: format!("i{index}").as_str().into(),
@@ -140,7 +140,7 @@
     pub(crate) fn restart(&mut self, index: usize) {
         self.kill(index);
         let rate = self.nodes[index].rate;
-        self.nodes[index] = self.fresh(index);
+        self.nodes[index] = self.new_node(index);
         self.nodes[index].rate = rate;
     }
 
@@ -172,21 +172,21 @@
                 }
                 LeaseEffect::Lost => self.nodes[index].tenure = None,
                 LeaseEffect::HandOver { .. } => {
-                    self.post(index, 2, Item::Result(LeaseInput::HandedOver), None);
+                    self.enqueue(index, 2, Item::Result(LeaseInput::HandedOver), None);
                 }
-                LeaseEffect::Yield { to, word } => self.send_word(index, &to, word, fate()),
+                LeaseEffect::Yield { to, word } => self.enqueue_yield(index, &to, word, fate()),
                 LeaseEffect::Borrow { to, borrow, sent } => {
-                    self.post_borrow(index, &to, *borrow, sent, fate());
+                    self.enqueue_borrow(index, &to, *borrow, sent, fate());
                 }
-                call => self.post_call(index, call, fate()),
+                call => self.enqueue_call(index, call, fate()),
             }
             self.check();
         }
     }
 
-    fn post(&mut self, node: usize, at: u64, item: Item, reply: Option<u64>) {
+    fn enqueue(&mut self, node: usize, at: u64, item: Item, reply: Option<u64>) {
         let incarnation = self.nodes[node].holder.incarnation.0;
-        self.posts.push(Post {
+        self.deliveries.push(Delivery {
             at: self.step + at,
             node,
             incarnation,
@@ -195,24 +195,31 @@
         });
     }
 
-    fn post_call(&mut self, index: usize, call: LeaseEffect, fate: Fate) {
+    fn enqueue_call(&mut self, index: usize, call: LeaseEffect, fate: Fate) {
         self.calls += 1;
         if !self.is_store_up || !self.nodes[index].has_store || fate == Fate::Lose {
-            self.post(index, 1, Item::Result(LeaseInput::Unreachable), None);
+            self.enqueue(index, 1, Item::Result(LeaseInput::Unreachable), None);
             return;
         }
         match fate {
-            Fate::Arrive(at) => self.post(index, at, Item::Call(call), Some(at)),
+            Fate::Arrive(at) => self.enqueue(index, at, Item::Call(call), Some(at)),
             Fate::LoseReply(at) => {
                 // The caller gives up before the call arrives, which is the worst case.
-                self.post(index, 1, Item::Result(LeaseInput::Unknown), None);
-                self.post(index, 1 + at, Item::Call(call), None);
+                self.enqueue(index, 1, Item::Result(LeaseInput::Unknown), None);
+                self.enqueue(index, 1 + at, Item::Call(call), None);
             }
             Fate::Lose => {}
         }
     }
 
-    fn post_borrow(&mut self, index: usize, to: &Holder, borrow: Borrow, sent: Moment, fate: Fate) {
+    fn enqueue_borrow(
+        &mut self,
+        index: usize,
+        to: &Holder,
+        borrow: Borrow,
+        sent: Moment,
+        fate: Fate,
+    ) {
         let Some(target) = self.nodes.iter().position(|n| n.holder == *to) else {
             return;
         };
@@ -221,8 +228,8 @@
         }
         let from = self.nodes[index].holder.clone();
         match fate {
-            Fate::Arrive(at) => self.post(target, at, Item::Ask(from, borrow, sent), Some(at)),
-            Fate::LoseReply(at) => self.post(target, at, Item::Ask(from, borrow, sent), None),
+            Fate::Arrive(at) => self.enqueue(target, at, Item::Ask(from, borrow, sent), Some(at)),
+            Fate::LoseReply(at) => self.enqueue(target, at, Item::Ask(from, borrow, sent), None),
             Fate::Lose => {}
         }
     }
@@ -231,12 +238,12 @@
         self.cut.contains(&(a.min(b), a.max(b)))
     }
 
-    fn send_word(&mut self, index: usize, to: &Holder, word: Yield, fate: Fate) {
+    fn enqueue_yield(&mut self, index: usize, to: &Holder, word: Yield, fate: Fate) {
         let target = self.nodes.iter().position(|n| n.holder == *to);
         let target = target.filter(|t| !self.is_cut(index, *t));
         if let (Some(target), Fate::Arrive(at)) = (target, fate) {
             let input = LeaseInput::TakeOver(word);
-            self.post(target, at, Item::Result(input), None);
+            self.enqueue(target, at, Item::Result(input), None);
         }
     }
 
@@ -245,13 +252,13 @@
         self.step += 1;
         self.check();
         let step = self.step;
-        let is_due = |p: &Post| p.at <= step;
-        let (due, later) = std::mem::take(&mut self.posts)
+        let is_due = |p: &Delivery| p.at <= step;
+        let (due, later) = std::mem::take(&mut self.deliveries)
             .into_iter()
             .partition(is_due);
-        self.posts = later;
-        for post in due {
-            self.deliver(post, fate);
+        self.deliveries = later;
+        for delivery in due {
+            self.deliver(delivery, fate);
         }
         for index in 0..self.nodes.len() {
             if self.is_running(index) {
@@ -265,37 +272,39 @@
         node.is_up && node.paused_until <= self.step
     }
 
-    fn deliver(&mut self, mut post: Post, fate: &mut dyn FnMut() -> Fate) {
-        if let Item::Call(call) = post.item {
+    fn deliver(&mut self, mut delivery: Delivery, fate: &mut dyn FnMut() -> Fate) {
+        if let Item::Call(call) = delivery.item {
             let result = self.store_call(&call);
-            if let Some(at) = post.reply {
-                self.post(post.node, at, Item::Result(result), None);
+            if let Some(at) = delivery.reply {
+                self.enqueue(delivery.node, at, Item::Result(result), None);
             }
             return;
         }
-        let node = &self.nodes[post.node];
-        if node.holder.incarnation.0 != post.incarnation || !node.is_up {
+        let node = &self.nodes[delivery.node];
+        if node.holder.incarnation.0 != delivery.incarnation || !node.is_up {
             return;
         }
         if node.paused_until > self.step {
-            post.at = node.paused_until;
-            self.posts.push(post);
+            delivery.at = node.paused_until;
+            self.deliveries.push(delivery);
             return;
         }
-        match post.item {
-            Item::Result(input) => self.input(post.node, input, fate),
+        match delivery.item {
+            Item::Result(input) => self.input(delivery.node, input, fate),
             Item::Answer(from, sent, reply) => {
-                self.input(post.node, LeaseInput::Reply { from, sent, reply }, fate);
+                self.input(delivery.node, LeaseInput::Reply { from, sent, reply }, fate);
             }
             Item::Ask(from, borrow, sent) => {
-                let now = self.now(post.node);
+                let now = self.now(delivery.node);
                 let mut out = Vec::new();
-                let reply = self.nodes[post.node].keeper.lend(now, &borrow, &mut out);
-                self.carry_out(post.node, out, fate);
-                let me = self.nodes[post.node].holder.clone();
+                let reply = self.nodes[delivery.node]
+                    .keeper
+                    .lend(now, &borrow, &mut out);
+                self.carry_out(delivery.node, out, fate);
+                let me = self.nodes[delivery.node].holder.clone();
                 let back = self.nodes.iter().position(|n| n.holder == from);
-                if let (Some(back), Some(at)) = (back, post.reply) {
-                    self.post(back, at, Item::Answer(me, sent, reply), None);
+                if let (Some(back), Some(at)) = (back, delivery.reply) {
+                    self.enqueue(back, at, Item::Answer(me, sent, reply), None);
                 }
             }
             Item::Call(_) => {}
@@ -324,12 +333,12 @@
         }
     }
 
-    /// The truth about who is up, as a membership would tell it in time.
+    /// View of the actual state, as a converged membership gives it.
     pub(crate) fn true_view(&self, index: usize) -> LeaseView {
         let reach = |i: &usize| self.nodes[*i].is_up && !self.is_cut(index, *i);
         let ranked = (0..self.nodes.len()).filter(reach);
-        let is_well = |n: &Node| !n.is_draining && n.paused_until <= self.step;
-        let ranked = ranked.filter(|i| is_well(&self.nodes[*i]));
+        let is_available = |n: &Node| !n.is_draining && n.paused_until <= self.step;
+        let ranked = ranked.filter(|i| is_available(&self.nodes[*i]));
         let ranked: Vec<Holder> = ranked.map(|i| self.nodes[i].holder.clone()).collect();
         let is_lost = |h: &&Holder| {
             let at = self.nodes.iter().position(|n| n.holder == **h);
@@ -343,7 +352,7 @@
         }
     }
 
-    /// Gives `index` the claims of the acting owners in its reach, as the gossip does.
+    /// Delivers the claims of reachable owners to `index`, as the gossip does.
     pub(crate) fn hear_claims(&mut self, index: usize, fate: &mut dyn FnMut() -> Fate) {
         for other in 0..self.nodes.len() {
             let is_heard = other != index && self.is_running(other) && !self.is_cut(index, other);
@@ -386,8 +395,8 @@
         (0..self.nodes.len()).map(|i| self.part(i)).collect()
     }
 
-    /// No endpoint's limit is exceeded by what the instances believe they may use, whether they
-    /// run or are paused.
+    /// Asserts that the parts held by all instances, running or paused, do not exceed the limit
+    /// of an endpoint.
     fn check(&self) {
         let parts = self.parts();
         let sum: u32 = parts.iter().flatten().map(|p| p.of(LIMIT)).sum();
