--- a/cornelstand/tests/centre.rs
+++ b/cornelstand/tests/centre.rs
@@ -1,4 +1,4 @@
-//! A data centre that is taken out while its instance owns the cells and work waits.
+//! Taking out a data centre whose instance owns the cells while work is queued.
 #![cfg(feature = "demo")]
 
 use std::sync::Arc;
@@ -15,7 +15,7 @@
     plain: call_digest,
 };
 
-/// Calls of each account that are open at a time, several times what the engines bear.
+/// Concurrent calls of each account, several times the engines' capacity.
 const BACKLOG: u32 = 30;
 
 fn source(service: &ServiceName, path: &str, call: CallKind, arrival: Arrival) -> Source {
