--- a/cornelstand/src/member_message.rs
+++ b/cornelstand/src/member_message.rs
@@ -29,7 +29,7 @@
     Seeds {
         /// The instances.
         seeds: Vec<Seed>,
-        /// Whether the list is the platform's, where absence proves an end.
+        /// Whether the list is the platform's, where a long absence proves an end.
         is_complete: bool,
     },
     /// This instance claims a cell.
