--- a/cornelstand/src/attempt.rs
+++ b/cornelstand/src/attempt.rs
@@ -1,11 +1,11 @@
 //! State machine of a request's attempts.
 //!
-//! A request starts as [`Unsent`]. Only that state can give a [`NotRun`], the proof that a refusal
-//! "not run" needs, and it is consumed by [`Unsent::send`], after which bytes may reach an
-//! endpoint. The way back leads through a [`ConnectError`], which exists only for errors made
-//! before there was a connection. Once bytes were written, a further attempt needs a
-//! [`RetryPermit`], which is given to idempotent requests within their budget. Once a byte of the
-//! answer went to the caller there is no further attempt at all.
+//! A request starts as [`Unsent`]. Only that state can produce a [`NotRun`], the proof that a
+//! "not run" refusal requires, and it is consumed by [`Unsent::send`], after which bytes may reach
+//! an endpoint. Only a [`ConnectError`], which exists only for errors raised before a connection
+//! was established, leads back to it. Once bytes were written, a further attempt needs a
+//! [`RetryPermit`], granted to idempotent requests within their retry budget. Once a byte of the
+//! answer was sent to the caller, the request is never retried.
 
 use derive_more::{Display, IsVariant};
 use serde::{Deserialize, Serialize};
@@ -17,14 +17,14 @@
 #[derive(Debug, Eq, PartialEq)]
 pub struct NotRun(());
 
-/// What a caller may conclude from a refusal.
+/// Execution status that a refusal reports to the caller.
 #[derive(Clone, Copy, Debug, Deserialize, Display, Eq, IsVariant, PartialEq, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Outcome {
     /// No byte was written to an endpoint.
     #[display("not-run")]
     NotRun,
-    /// An endpoint may have run the request, wholly or in part.
+    /// An endpoint may have executed the request, in full or in part.
     #[display("unknown")]
     Unknown,
     /// The request failed.
@@ -32,19 +32,19 @@
     Failed,
 }
 
-/// Outcome of a request that gets no answer, with its proof.
+/// Outcome of an unanswered request, with the proof it requires.
 #[derive(Debug, Eq, IsVariant, PartialEq)]
 pub enum Verdict {
     /// No byte was written to an endpoint.
     NotRun(NotRun),
-    /// An endpoint may have run the request.
+    /// An endpoint may have executed the request.
     Unknown,
-    /// The endpoint said that the request failed.
+    /// The endpoint reported that the request failed.
     Failed,
 }
 
 impl Verdict {
-    /// The outcome as the caller sees it.
+    /// Returns the outcome reported to the caller.
     #[must_use]
     pub fn outcome(&self) -> Outcome {
         match self {
@@ -55,16 +55,16 @@
     }
 }
 
-/// Why a sent attempt has no answer.
+/// Why a sent attempt received no answer.
 #[derive(Clone, Copy, Debug, Display, Eq, IsVariant, PartialEq)]
 pub enum Loss {
-    /// The connection broke, or the answer was cut or not its own.
+    /// The connection broke, or the answer was truncated or for another attempt.
     #[display("the connection to the endpoint broke")]
     Broken,
-    /// A deadline passed without a byte.
+    /// No byte arrived before the deadline.
     #[display("the endpoint did not answer in time")]
     Silent,
-    /// The endpoint answered that it did not carry out the request.
+    /// The endpoint answered that it did not execute the request.
     #[display("the endpoint failed")]
     Failed,
 }
@@ -77,7 +77,7 @@
         }
     }
 
-    /// The weaker claim of two: once an attempt's fate is unknown, the request's is.
+    /// Combines two losses: once one attempt's outcome is unknown, the request's is.
     fn and(self, earlier: Option<Self>) -> Self {
         match earlier {
             Some(e) if self == Self::Failed => e,
@@ -86,17 +86,17 @@
     }
 }
 
-/// Error of the HTTP client made before there was a connection.
+/// HTTP client error raised before a connection was established.
 #[derive(Debug, Display)]
 #[display("no connection to the endpoint: {_0}")]
 pub struct ConnectError(reqwest::Error);
 
 impl ConnectError {
-    /// Takes `error` if it proves that nothing was written.
+    /// Wraps `error` if it proves that nothing was written.
     ///
     /// # Errors
     ///
-    /// Gives `error` back if a connection may have existed.
+    /// Returns `error` unchanged if a connection may have been established.
     pub fn prove(error: reqwest::Error) -> Result<Self, reqwest::Error> {
         if error.is_connect() {
             Ok(Self(error))
@@ -106,14 +106,14 @@
     }
 }
 
-/// A request of which no byte was written to an endpoint.
+/// A request with no byte written to an endpoint yet.
 #[derive(Debug, Eq, PartialEq)]
 pub struct Unsent {
     id: AttemptId,
 }
 
 impl Unsent {
-    /// The first attempt of `request`.
+    /// Creates the first attempt of `request`.
     #[must_use]
     pub fn new(request: RequestId) -> Self {
         let number = 0;
@@ -122,13 +122,13 @@
         }
     }
 
-    /// Gives the request up.
+    /// Abandons the request.
     #[must_use]
     pub fn refuse(self) -> NotRun {
         NotRun(())
     }
 
-    /// Starts to write.
+    /// Starts sending.
     #[must_use]
     pub fn send(self) -> Sending {
         Sending {
@@ -137,7 +137,7 @@
         }
     }
 
-    /// The next attempt after a grant that was not used.
+    /// Returns the next attempt after an unused grant.
     #[must_use]
     pub fn next(self) -> Self {
         Self { id: next(self.id) }
@@ -151,17 +151,17 @@
     earlier: Loss,
 }
 
-/// A request that is not at an endpoint now.
+/// A request that is ready for its next attempt.
 #[derive(Debug, Eq, IsVariant, PartialEq)]
 pub enum Ready {
-    /// Nothing was written yet.
+    /// Nothing has been written yet.
     Unsent(Unsent),
     /// An earlier attempt was lost.
     Resend(Resend),
 }
 
 impl Ready {
-    /// The attempt that comes next.
+    /// Returns the identity of the next attempt.
     #[must_use]
     pub fn attempt(&self) -> AttemptId {
         match self {
@@ -170,7 +170,7 @@
         }
     }
 
-    /// Gives the request up.
+    /// Abandons the request.
     #[must_use]
     pub fn refuse(self) -> Verdict {
         match self {
@@ -179,7 +179,7 @@
         }
     }
 
-    /// Starts to write.
+    /// Starts sending.
     #[must_use]
     pub fn send(self) -> Sending {
         match self {
@@ -191,7 +191,7 @@
         }
     }
 
-    /// The next attempt after a grant that was not used.
+    /// Returns the next attempt after an unused grant.
     #[must_use]
     pub fn next(self) -> Self {
         match self {
@@ -204,7 +204,7 @@
     }
 }
 
-/// An attempt whose bytes may be on their way.
+/// An attempt that is being sent.
 #[derive(Debug, Eq, PartialEq)]
 pub struct Sending {
     id: AttemptId,
@@ -212,7 +212,7 @@
 }
 
 impl Sending {
-    /// No connection was made, so that nothing was written by this attempt.
+    /// No connection was established, so this attempt wrote nothing.
     #[must_use]
     pub fn unconnected(self, _proof: &ConnectError) -> Ready {
         let id = next(self.id);
@@ -222,7 +222,7 @@
         }
     }
 
-    /// Everything else counts as written.
+    /// Any other result of sending counts as written.
     #[must_use]
     pub fn sent(self) -> Sent {
         Sent {
@@ -232,7 +232,7 @@
     }
 }
 
-/// An attempt that an endpoint may run.
+/// An attempt that an endpoint may be executing.
 #[derive(Debug, Eq, PartialEq)]
 pub struct Sent {
     id: AttemptId,
@@ -240,13 +240,13 @@
 }
 
 impl Sent {
-    /// The first byte of the answer goes to the caller.
+    /// Starts passing the answer on to the caller.
     #[must_use]
     pub fn answering(self) -> Answering {
         Answering { id: self.id }
     }
 
-    /// The attempt is lost.
+    /// Records that the attempt was lost.
     #[must_use]
     pub fn lost(self, loss: Loss) -> Lost {
         let earlier = loss.and(self.earlier);
@@ -265,13 +265,13 @@
 }
 
 impl Lost {
-    /// Gives the request up.
+    /// Abandons the request.
     #[must_use]
     pub fn refuse(self) -> Verdict {
         self.earlier.verdict()
     }
 
-    /// Tries again.
+    /// Starts another attempt.
     #[must_use]
     pub fn retry(self, _permit: RetryPermit) -> Ready {
         Ready::Resend(Resend {
@@ -281,14 +281,15 @@
     }
 }
 
-/// An attempt whose answer goes to the caller. It ends whole or is cut, and is never repeated.
+/// An attempt whose answer is being sent to the caller. It completes or is truncated, and is
+/// never retried.
 #[derive(Debug, Eq, PartialEq)]
 pub struct Answering {
     id: AttemptId,
 }
 
 impl Answering {
-    /// The attempt.
+    /// Returns the identity of the attempt.
     #[must_use]
     pub fn attempt(&self) -> AttemptId {
         self.id
