--- a/cornelstand/src/auth.rs
+++ b/cornelstand/src/auth.rs
@@ -1,8 +1,8 @@
-//! Client accounts' keys.
+//! Authentication of client accounts by key.
 //!
-//! Keys are known by their SHA-256 hash only. The first bytes of the hash lead to the candidates,
-//! and the whole hash is compared in constant time, so that timing tells nothing about a key: who
-//! can steer the hash's prefix knows the key already.
+//! Only SHA-256 hashes of keys are stored. A hash prefix selects the candidates, and the full hash
+//! is compared in constant time, so that timing reveals nothing about a key: whoever can produce a
+//! matching prefix already knows the key.
 
 use std::collections::HashMap;
 
@@ -12,9 +12,9 @@
 use crate::config::Config;
 use crate::name::AccountName;
 
-/// Bytes of a SHA-256 hash.
+/// Size of a SHA-256 hash.
 const HASH_BYTES: usize = 32;
-/// Bytes of the hash that the index goes by.
+/// Size of the hash prefix used as the index key.
 const PREFIX_BYTES: usize = 8;
 
 type Hash = [u8; HASH_BYTES];
@@ -25,14 +25,14 @@
     account: AccountName,
 }
 
-/// Index of all accounts' keys in one configuration.
+/// Index of the account keys of one configuration.
 #[derive(Debug, Default)]
 pub struct KeyIndex {
     by_prefix: HashMap<[u8; PREFIX_BYTES], Vec<Candidate>>,
 }
 
 impl KeyIndex {
-    /// The index of `config`. Hashes that are no SHA-256 in hexadecimal match no key.
+    /// Builds the index of `config`. Hashes other than hexadecimal SHA-256 are ignored.
     #[must_use]
     pub fn new(config: &Config) -> Self {
         let mut index = Self::default();
@@ -44,7 +44,7 @@
         index
     }
 
-    /// The account that `key` belongs to.
+    /// Returns the account that `key` belongs to.
     #[must_use]
     pub fn account(&self, key: &str) -> Option<&AccountName> {
         let hash: Hash = Sha256::digest(key).into();
@@ -62,7 +62,7 @@
     }
 }
 
-/// The SHA-256 hash of `key` in hexadecimal, as an account's keys are declared.
+/// Returns the hexadecimal SHA-256 hash of `key`, the form used in the configuration.
 #[must_use]
 pub fn key_hash(key: &str) -> String {
     let hash: Hash = Sha256::digest(key).into();
