--- a/cornelstand/src/body.rs
+++ b/cornelstand/src/body.rs
@@ -1,8 +1,8 @@
-//! Bodies of callers' requests.
+//! Request bodies of callers.
 //!
-//! A body that fits the replay buffer is read whole before an endpoint is asked for, so that a
-//! slow caller holds no endpoint's slot and the request can be sent again. A larger one is
-//! streamed and can be sent once.
+//! A body that fits the replay buffer is read completely before an endpoint is requested, so that
+//! a slow caller occupies no endpoint slot and the request can be retried. A larger body is
+//! streamed and can be sent only once.
 
 use std::pin::Pin;
 use std::sync::atomic::{AtomicBool, Ordering};
@@ -21,30 +21,30 @@
 #[derive(Clone, Copy, Debug, Eq, PartialEq, Snafu)]
 #[snafu(visibility(pub(crate)))]
 pub(crate) enum BodyError {
-    /// The body is larger than allowed.
+    /// The body exceeds the size limit.
     #[snafu(display("the body has more than {most} bytes"))]
     TooLarge {
-        /// Most bytes allowed.
+        /// Maximum size in bytes.
         most: u64,
     },
-    /// The connection broke, or the body is shorter than stated.
+    /// The connection broke, or the body is shorter than its content-length.
     #[snafu(display("the body broke off"))]
     Broken,
-    /// The next bytes did not come in time.
+    /// The next bytes did not arrive in time.
     #[snafu(display("the body did not come in time"))]
     Slow,
 }
 
-/// Limits of a body.
+/// Limits on reading a body.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct BodyLimits {
-    /// Longest wait for the next bytes.
+    /// Maximum wait for the next bytes.
     pub(crate) idle: Duration,
-    /// Longest wait for the part that is read ahead.
+    /// Maximum wait for the part that is read ahead.
     pub(crate) ahead: Duration,
-    /// Most bytes that are read ahead.
+    /// Maximum number of bytes read ahead.
     pub(crate) replay: usize,
-    /// Most bytes in all.
+    /// Maximum size of the whole body.
     pub(crate) most: u64,
 }
 
@@ -53,23 +53,23 @@
 /// A request's body.
 #[derive(Debug)]
 pub(crate) enum CallBody {
-    /// It is here and can be sent any number of times.
+    /// Fully buffered; can be sent any number of times.
     Whole(Bytes),
-    /// It is larger than the replay buffer.
+    /// Larger than the replay buffer.
     Stream(StreamBody),
 }
 
-/// A body that is passed on as it comes.
+/// A body that is forwarded as it arrives.
 pub(crate) struct StreamBody {
     ahead: Bytes,
     rest: Arc<Mutex<Option<Rest>>>,
     progress: Arc<Progress>,
 }
 
-/// How the passing on of a body goes.
+/// Progress of forwarding a body.
 #[derive(Debug, Default)]
 struct Progress {
-    /// The endpoint waits for the caller's next bytes.
+    /// The endpoint is waiting for the caller's next bytes.
     awaits: AtomicBool,
     fault: OnceLock<BodyError>,
 }
@@ -106,7 +106,7 @@
         }))
     }
 
-    /// The beginning of the body, or all of it.
+    /// Returns the part that was read ahead, which may be the whole body.
     pub(crate) fn ahead(&self) -> &[u8] {
         match self {
             Self::Whole(bytes) => bytes,
@@ -114,7 +114,7 @@
         }
     }
 
-    /// Tells whether the body can still be sent.
+    /// Returns whether the body can still be sent.
     pub(crate) fn is_sendable(&self) -> bool {
         match self {
             Self::Whole(_) => true,
@@ -122,12 +122,12 @@
         }
     }
 
-    /// Tells whether the body is larger than the replay buffer.
+    /// Returns whether the body is larger than the replay buffer.
     pub(crate) fn is_stream(&self) -> bool {
         matches!(self, Self::Stream(_))
     }
 
-    /// What went wrong with the caller's part of the body while it was passed on.
+    /// Returns the error in reading from the caller while the body was forwarded.
     pub(crate) fn fault(&self) -> Option<BodyError> {
         match self {
             Self::Whole(_) => None,
@@ -135,7 +135,7 @@
         }
     }
 
-    /// Tells whether the endpoint waits for the caller's next bytes.
+    /// Returns whether the endpoint is waiting for the caller's next bytes.
     pub(crate) fn is_awaited(&self) -> bool {
         match self {
             Self::Whole(_) => false,
@@ -143,8 +143,8 @@
         }
     }
 
-    /// The body for an endpoint. The caller's stream is taken when the first byte is asked for,
-    /// which is not before there is a connection.
+    /// Returns the body for an endpoint. The caller's stream is taken only when the first byte is
+    /// polled, which happens after a connection is established.
     pub(crate) fn upload(&self) -> reqwest::Body {
         match self {
             Self::Whole(bytes) => bytes.clone().into(),
@@ -176,7 +176,7 @@
     }
 }
 
-/// Length of a body as its sender states it.
+/// Returns the body length stated in the content-length header.
 pub(crate) fn stated_length(headers: &HeaderMap) -> Option<u64> {
     headers.get(CONTENT_LENGTH)?.to_str().ok()?.parse().ok()
 }
@@ -185,7 +185,7 @@
     rest.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
-/// Reads until the end or until `most` bytes are there, and tells whether the end was reached.
+/// Reads until the end or past `most` bytes, and returns whether the end was reached.
 async fn read_ahead(rest: &mut Rest, most: usize) -> Result<(Bytes, bool), BodyError> {
     let mut ahead = BytesMut::new();
     while ahead.len() <= most {
