--- a/cornelstand/src/call.rs
+++ b/cornelstand/src/call.rs
@@ -1,10 +1,10 @@
-//! One request from its admission to its last byte.
+//! Processing of one request from its admission to the last byte of its answer.
 //!
-//! The task claims a request that may not be repeated, asks for an endpoint, sends, and delivers
-//! the answer, for as many attempts as the state machine of `attempt` allows. A caller that goes
-//! away ends it at every step, but for a claimed request that was sent: that one runs to its end,
-//! so that its answer is there when it is sent again. For the same reason the caller's deadline
-//! bounds the wait for an endpoint only, once a request is claimed.
+//! The task claims a request that may not be repeated, requests an endpoint, sends the request, and
+//! delivers the answer, for as many attempts as the state machine in `attempt` allows. It stops
+//! when the caller disconnects, except for a claimed request that was sent: that one runs to
+//! completion, so that its answer is recorded for a repetition. For the same reason the caller's
+//! deadline only bounds the wait for an endpoint once a request is claimed.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -38,12 +38,12 @@
 use crate::timeline::Topic;
 use crate::upstream::{Upcall, boot_of, is_foreign};
 
-/// Pause before the third attempt.
+/// Delay before the third attempt.
 const PAUSE: Duration = Duration::from_millis(50);
-/// Times that the pause is doubled at most.
+/// Maximum number of times that the delay is doubled.
 const MAX_DOUBLINGS: u32 = 5;
 
-/// A request on its way.
+/// An admitted request.
 pub(crate) struct Call {
     pub(crate) core: Arc<Core>,
     pub(crate) request: RequestId,
@@ -53,37 +53,37 @@
     pub(crate) class: Class,
     pub(crate) repeat: Repeat,
     pub(crate) method: Method,
-    /// Path and query at the endpoint.
+    /// Path and query sent to the endpoint.
     pub(crate) target: String,
     pub(crate) headers: HeaderMap,
-    /// Length of the body as the caller stated it.
+    /// Content length stated by the caller.
     pub(crate) length: Option<u64>,
     pub(crate) body: CallBody,
-    /// Room for the body, held as long as it is.
+    /// Buffer space reserved while the body is held.
     pub(crate) _room: OwnedSemaphorePermit,
     /// Idempotency key.
     pub(crate) key: Option<String>,
-    /// The claim, from its success until it is settled.
+    /// The claim, from its acquisition until it is settled.
     pub(crate) ticket: Option<Ticket>,
-    /// The trial, while the request is suspect.
+    /// The trial of a request suspected of crashing endpoints.
     pub(crate) trial: Option<TrialGuard>,
     pub(crate) hint: Option<u64>,
     pub(crate) prefix: Option<u64>,
     pub(crate) fingerprint: Fingerprint,
     pub(crate) arrived: Moment,
     pub(crate) deadline: Moment,
-    /// Endpoints that earlier attempts failed at.
+    /// Endpoints where earlier attempts failed.
     pub(crate) avoid: Vec<EndpointName>,
 }
 
-/// What follows an attempt. The caller is given back if there is another one.
+/// What follows an attempt. The caller is returned if the request is retried.
 pub(crate) enum Step {
     Again(Ready, Caller),
     Done,
 }
 
 impl Call {
-    /// Carries the request out.
+    /// Processes the request.
     pub(crate) async fn run(mut self, unsent: Unsent, caller: Caller) {
         self.record("accepted", self.service.as_str());
         self.core.budgets().earn(&self.account, &self.service);
@@ -97,7 +97,7 @@
         }
     }
 
-    /// Claims a request that may not be repeated, before an endpoint is asked for.
+    /// Claims a request that may not be repeated, before an endpoint is requested.
     async fn claim(&mut self, unsent: Unsent, mut caller: Caller) -> Step {
         let Some(key) = self.key.as_deref().filter(|_| self.repeat == Repeat::Once) else {
             return Step::Again(Ready::Unsent(unsent), caller);
@@ -134,8 +134,8 @@
         Step::Done
     }
 
-    /// Waits before an attempt that is not the first or second, so that a grant that cannot be
-    /// used is not asked for again and again while the dispatcher does not know better.
+    /// Delays every attempt after the second, so that a grant that cannot be used is not requested
+    /// in a tight loop until the dispatcher learns why.
     async fn pause(&self, ready: &Ready, caller: &mut Caller) -> Result<(), Gone> {
         let Some(doublings) = ready.attempt().number.checked_sub(2) else {
             return Ok(());
@@ -194,7 +194,7 @@
         self.send(ready, flight, address, caller).await
     }
 
-    /// Asks for an endpoint. Dropping the offer cancels it.
+    /// Requests an endpoint. Dropping the offer cancels it.
     async fn offer(&self, ready: &Ready, caller: &mut Caller) -> Result<Reply, Gone> {
         let now = self.core.clock.now();
         if now >= self.deadline {
@@ -224,7 +224,7 @@
         }
     }
 
-    /// Endpoints that another one is to be granted for, if possible.
+    /// Returns the endpoints to be granted only if there is no other.
     fn avoided(&self) -> Vec<EndpointName> {
         let mut avoided = self.avoid.clone();
         if self.trial.is_some() {
@@ -233,7 +233,7 @@
         avoided
     }
 
-    /// Address of the granted endpoint, unless the entry's own configuration withdraws it.
+    /// Returns the address of the granted endpoint if this entry's configuration allows its use.
     fn address(&self, grant: &Grant) -> Option<SocketAddr> {
         let config = self.core.config();
         let endpoint = config.endpoints.get(&grant.endpoint)?;
@@ -313,7 +313,7 @@
                     let problem = refusal::overloaded(sent.lost(Loss::Failed));
                     return self.give_up(caller, problem).await;
                 }
-                // The answer of a plain service passes as it is.
+                // The answer of a plain service is forwarded unchanged.
                 None => {}
             }
         }
@@ -331,7 +331,7 @@
         self.deliver(sent, leg, head, source, caller).await
     }
 
-    /// A sent attempt has no answer: tries again if that is allowed.
+    /// Handles a lost attempt: retries the request if that is allowed.
     pub(crate) async fn lost(&mut self, sent: Sent, loss: Loss, leg: Leg, caller: Caller) -> Step {
         let attempt = sent.lost(loss);
         if let Some(fault) = self.upload_fault(loss) {
@@ -357,14 +357,14 @@
         self.give_up(caller, refusal::lost(attempt, loss)).await
     }
 
-    /// What the caller's body has to do with a loss.
+    /// Returns the error in the caller's body that caused a loss.
     fn upload_fault(&self, loss: Loss) -> Option<BodyError> {
         let is_slow = loss.is_silent() && self.body.is_awaited();
         let slow = is_slow.then_some(BodyError::Slow);
         self.body.fault().or(slow)
     }
 
-    /// The caller has gone while nothing runs.
+    /// Ends a request whose caller disconnected while no attempt was running.
     async fn leave(&mut self, ready: Ready, caller: Caller) -> Step {
         let open = caller.leave();
         self.settle(&ready.refuse()).await;
@@ -372,7 +372,7 @@
         Step::Done
     }
 
-    /// Refuses a request that endpoints crashed on.
+    /// Refuses a request suspected of crashing endpoints.
     async fn contain(&mut self, ready: Ready, caller: Caller, left: Duration) -> Step {
         let open = caller.refuse(&refusal::suspect(left));
         self.settle(&ready.refuse()).await;
@@ -380,7 +380,7 @@
         Step::Done
     }
 
-    /// Gives the caller its final answer at once, and settles the claim after it.
+    /// Sends the caller the refusal first, then settles the claim.
     async fn give_up(&mut self, caller: Caller, problem: Problem) -> Step {
         let open = caller.refuse(&problem);
         self.settle(&problem.verdict).await;
@@ -388,8 +388,8 @@
         Step::Done
     }
 
-    /// Settles the claim of a request that gets no answer. Only the proof that it was not sent
-    /// releases the claim.
+    /// Settles the claim of an unanswered request. Only the proof that it was not sent releases
+    /// the claim.
     async fn settle(&mut self, verdict: &Verdict) {
         match verdict {
             Verdict::NotRun(proof) => self.release(proof).await,
@@ -404,7 +404,7 @@
         }
     }
 
-    /// Notes that a claimed request has no answer.
+    /// Records that the outcome of a claimed request is unknown.
     pub(crate) async fn settle_unknown(&mut self) {
         if let Some(ticket) = self.ticket.take() {
             let done = self.core.claims.settle_unknown(ticket).await;
@@ -420,18 +420,18 @@
         }
     }
 
-    /// Tells whether the request holds a claim.
+    /// Returns whether the request holds a claim.
     pub(crate) fn is_claimed(&self) -> bool {
         self.ticket.is_some()
     }
 
-    /// Tells whether the claim is too old for the request to be sent.
+    /// Returns whether the claim is too old for the request to be sent.
     fn is_claim_late(&self) -> bool {
         let claims = &self.core.claims;
         self.ticket.as_ref().is_some_and(|t| !claims.is_sendable(t))
     }
 
-    /// Permission to send the request once more, if it can be.
+    /// Spends retry budget for another attempt, if the request can be retried.
     fn permit(&self) -> Option<RetryPermit> {
         if !self.repeat.is_idempotent() || !self.body.is_sendable() {
             return None;
@@ -444,7 +444,7 @@
         permit
     }
 
-    /// A silent connection says that its neighbours may be dead, too.
+    /// Records a loss. A silent one replaces the pool, whose other connections may be dead, too.
     pub(crate) fn note_loss(&self, loss: Loss, leg: &Leg) {
         if loss.is_silent() {
             self.core.replace_pool(leg.address);
@@ -479,7 +479,7 @@
             || (self.kind == Kind::Model && status == StatusCode::TOO_MANY_REQUESTS)
     }
 
-    /// How an attempt with a whole answer ended.
+    /// Returns how an attempt with a complete answer ended.
     pub(crate) fn ending(&self, status: StatusCode) -> Ending {
         if self.is_overload(status) {
             Ending::Overloaded
@@ -515,7 +515,7 @@
     }
 }
 
-/// Counts a request that waits for an endpoint.
+/// Counts a request as waiting for an endpoint until dropped.
 struct Waiting<'a>(&'a Core);
 
 impl<'a> Waiting<'a> {
@@ -531,7 +531,7 @@
     }
 }
 
-/// How an attempt that is lost ended.
+/// Returns how a lost attempt ended.
 pub(crate) fn ending_of(loss: Loss) -> Ending {
     match loss {
         Loss::Broken => Ending::Broken,
