--- a/cornelstand/src/caller.rs
+++ b/cornelstand/src/caller.rs
@@ -1,4 +1,4 @@
-//! The caller's side of a running request: the head of the answer, its body and its end.
+//! The caller's side of a running request: head, body and end of the answer.
 
 use std::future::Future;
 use std::sync::Arc;
@@ -20,28 +20,28 @@
 use crate::problem::{Problem, ProblemKind, id_value};
 use crate::timeline::Topic;
 
-/// Header that tells that an answer was recorded earlier.
+/// Header that marks a recorded answer to an earlier request.
 const REPLAYED: HeaderName = HeaderName::from_static("idempotent-replayed");
-/// Pieces of an answer on their way to the caller.
+/// Capacity of the channel of body chunks to the caller.
 const PIECES: usize = 4;
 
-/// The answer ended before it was whole. It aborts the caller's stream, so that the answer cannot
-/// be taken for a complete one.
+/// The answer ended early. It aborts the caller's stream, so that the answer cannot be mistaken
+/// for a complete one.
 #[derive(Clone, Copy, Debug, Eq, PartialEq, Snafu)]
 #[snafu(display("the answer was cut"))]
 pub(crate) struct CutError;
 
-/// The caller does not take the answer any more.
+/// The caller no longer takes the answer.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub(crate) struct Gone;
 
 type Piece = Result<Bytes, CutError>;
 
-/// What the handler of a request gives to the HTTP library.
+/// Answer that a request handler passes to the HTTP library.
 pub(crate) enum Answer {
-    /// It is here.
+    /// The whole answer is available.
     Short(http::Response<Vec<u8>>),
-    /// Its body comes.
+    /// The body is streamed.
     Begun {
         status: StatusCode,
         headers: HeaderMap,
@@ -50,7 +50,7 @@
 }
 
 impl Answer {
-    /// Counts a refusal and makes the answer of it.
+    /// Counts a refusal and converts it to an answer.
     pub(crate) fn refused(core: &Core, request: RequestId, problem: &Problem) -> Self {
         let outcome = problem.verdict.outcome().to_string();
         let kind = problem.kind.to_string();
@@ -61,7 +61,7 @@
         Self::Short(problem.answer(request))
     }
 
-    /// The answer to `request` for the HTTP library.
+    /// Converts the answer to `request` for the HTTP library.
     pub(crate) fn into_response(self, request: RequestId) -> Response {
         match self {
             Self::Short(answer) => {
@@ -83,7 +83,7 @@
     }
 }
 
-/// A caller that waits for the head of the answer.
+/// A caller waiting for the head of the answer.
 pub(crate) struct Caller {
     core: Arc<Core>,
     request: RequestId,
@@ -91,7 +91,7 @@
     open: Open,
 }
 
-/// The two ends of a request: for the task that carries it out, and for its handler.
+/// Creates the two ends of a request: one for its task, one for its handler.
 pub(crate) fn caller(
     core: Arc<Core>,
     request: RequestId,
@@ -121,19 +121,19 @@
 }
 
 impl Caller {
-    /// Waits until the caller has gone away.
+    /// Waits until the caller disconnects.
     pub(crate) async fn gone(&mut self) {
         self.head.closed().await;
     }
 
-    /// Gives the final answer: none.
+    /// Sends a refusal as the final answer.
     pub(crate) fn refuse(self, problem: &Problem) -> Open {
         let answer = Answer::refused(&self.core, self.request, problem);
         let _ = self.head.send(answer);
         self.open
     }
 
-    /// Gives an answer that was recorded earlier.
+    /// Sends a previously recorded answer.
     pub(crate) fn replay(self, status: u16, media: &str, body: &Bytes) {
         self.core.count("replayed");
         let mut answer = http::Response::new(body.to_vec());
@@ -149,13 +149,13 @@
         let _ = self.head.send(Answer::Short(answer));
     }
 
-    /// Counts that the caller went away.
+    /// Counts that the caller disconnected.
     pub(crate) fn leave(self) -> Open {
         self.core.count("gone");
         self.open
     }
 
-    /// Gives the head of the answer of the attempt that is `answering`.
+    /// Sends the head of the answer to the attempt `answering`.
     pub(crate) fn begin(
         self,
         answering: Answering,
@@ -178,7 +178,7 @@
     }
 }
 
-/// A caller that reads the body of the answer.
+/// Writes the body of the answer to the caller.
 pub(crate) struct Reader {
     core: Arc<Core>,
     _answering: Answering,
@@ -187,12 +187,12 @@
 }
 
 impl Reader {
-    /// Waits until the caller has gone away.
+    /// Waits until the caller disconnects.
     pub(crate) async fn gone(&self) {
         self.pieces.closed().await;
     }
 
-    /// Passes a piece on, when the caller has taken enough of the earlier ones.
+    /// Writes a chunk once the caller has taken enough of the earlier ones.
     pub(crate) async fn write(&self, piece: Bytes, idle: Duration) -> Result<(), Gone> {
         if piece.is_empty() {
             return Ok(());
@@ -201,20 +201,20 @@
         sent.map_err(|_| Gone)
     }
 
-    /// Ends a whole answer.
+    /// Ends a complete answer.
     pub(crate) fn finish(self) -> Open {
         self.core.count("answered");
         self.open
     }
 
-    /// Ends an answer that is not whole, so that the caller sees it.
+    /// Aborts an incomplete answer, so that the caller sees an error.
     pub(crate) async fn cut(self, idle: Duration) -> Open {
         self.core.count("cut");
         let _ = self.pieces.send_timeout(Err(CutError), idle).await;
         self.open
     }
 
-    /// Ends an answer that the caller does not take.
+    /// Ends an answer that the caller no longer takes.
     pub(crate) async fn leave(self, idle: Duration) {
         self.core.count("gone");
         let _ = self.pieces.send_timeout(Err(CutError), idle).await;
