--- a/cornelstand/src/codec.rs
+++ b/cornelstand/src/codec.rs
@@ -1,4 +1,4 @@
-//! Codec of the messages between instances.
+//! Codec for messages between instances.
 
 use std::io;
 use std::marker::PhantomData;
@@ -8,7 +8,7 @@
 use serde::{Deserialize, Serialize};
 use tokio_serde::{Deserializer, Serializer};
 
-/// Postcard encoding of `In` and `Out` messages.
+/// Postcard codec that decodes `In` and encodes `Out` messages.
 pub(crate) struct Postcard<In, Out>(PhantomData<fn(Out) -> In>);
 
 impl<In, Out> Default for Postcard<In, Out> {
