--- a/cornelstand/src/deliver.rs
+++ b/cornelstand/src/deliver.rs
@@ -1,9 +1,9 @@
 //! Delivery of an endpoint's answer to the caller.
 //!
-//! A short answer is held until it is whole, so that a cut one can still be asked for again. Any
-//! other answer begins with its first piece. Once the head went out, an answer ends whole or as an
-//! error that the caller sees. The answer to a claimed request is read to its end even when the
-//! caller has gone, because it has to be recorded.
+//! A short answer is buffered until it is complete, so that a truncated one can still be retried.
+//! Any other answer is sent from its first chunk on. Once the head was sent, an answer is either
+//! complete or ends in an error that the caller sees. The answer to a claimed request is read to
+//! its end even after the caller disconnected, because it has to be recorded.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -22,10 +22,10 @@
 use crate::headers::{REQUEST_ID, forwarded};
 use crate::relay::Source;
 
-/// Largest answer that is held until it is whole, so that a cut one can be asked for again.
+/// Largest answer that is buffered until complete, so that a truncated one can be retried.
 const HELD_BYTES: u64 = 64 * 1024;
 
-/// An attempt that was sent, and where to.
+/// A sent attempt and its endpoint's address.
 pub(crate) struct Leg {
     pub(crate) flight: Flight,
     pub(crate) address: SocketAddr,
@@ -35,12 +35,12 @@
 pub(crate) struct Head {
     pub(crate) status: StatusCode,
     pub(crate) headers: HeaderMap,
-    /// Whether the body is a stream of events.
+    /// Whether the body is an event stream.
     pub(crate) events: bool,
 }
 
 impl Head {
-    /// The headers for the caller.
+    /// Returns the headers for the caller.
     fn for_caller(&self) -> HeaderMap {
         let mut headers = forwarded(&self.headers);
         headers.remove(REQUEST_ID);
@@ -60,14 +60,14 @@
     }
 }
 
-/// The part of an answer that was read before its head went out.
+/// The part of an answer that was read before its head was sent.
 #[derive(Default)]
 struct Ahead {
     pieces: Vec<Bytes>,
     ended: bool,
 }
 
-/// The beginning of an answer's body, for its record.
+/// Collects the beginning of an answer's body for its record.
 struct Keep {
     status: u16,
     media: String,
@@ -83,7 +83,7 @@
         }
     }
 
-    /// Keeps up to one byte more than a record takes, which tells that the body is too long.
+    /// Keeps up to one byte more than a record holds, which marks the body as too long.
     fn push(&mut self, piece: &[u8]) {
         let room = (BODY_BYTES + 1).saturating_sub(self.body.len());
         self.body.extend_from_slice(&piece[..piece.len().min(room)]);
@@ -102,7 +102,7 @@
 }
 
 impl Call {
-    /// Passes an answer on.
+    /// Delivers an answer to the caller.
     pub(crate) async fn deliver(
         &mut self,
         sent: Sent,
@@ -131,7 +131,7 @@
         Step::Done
     }
 
-    /// Reads what is held before the head of the answer goes out.
+    /// Reads what is buffered before the head of the answer is sent.
     async fn read_ahead(
         &self,
         head: &Head,
@@ -188,7 +188,7 @@
         }
     }
 
-    /// Reports the end of a delivery, first to the caller.
+    /// Reports the end of a delivery, to the caller first.
     async fn conclude(
         &mut self,
         leg: Leg,
@@ -225,7 +225,7 @@
         }
     }
 
-    /// Corrects the cost of a running attempt.
+    /// Updates the cost of a running attempt.
     fn charge(&self, source: &Source, flight: &mut Flight) {
         let cost = match self.kind {
             Kind::Model => source.tokens().unwrap_or_else(|| flight.grant().charged),
@@ -234,7 +234,7 @@
         flight.progress(cost);
     }
 
-    /// Time left until the first byte of an answer has to come.
+    /// Returns the time left until the first byte of the answer is due.
     pub(crate) fn first_wait(&self, flight: &Flight) -> Duration {
         let now = self.core.clock.now();
         let left = self.core.limits.first().saturating_sub(flight.slot(now));
