--- a/cornelstand/src/entry.rs
+++ b/cornelstand/src/entry.rs
@@ -1,8 +1,8 @@
-//! The entry: callers' requests from their connection to the endpoint's.
+//! The entry: serves callers' requests and forwards them to endpoints.
 //!
-//! A request is authenticated, classified and read here, and then carried out by a task of its
-//! own (see `call`), which notices when the caller goes away. The handler waits for the head of
-//! the answer and passes the body on as it comes.
+//! A request is authenticated, classified and read by its handler, and then processed by a task of
+//! its own (see `call`), which notices when the caller disconnects. The handler waits for the head
+//! of the answer and streams the body as it arrives.
 
 use std::future::Future;
 use std::sync::Arc;
@@ -35,27 +35,27 @@
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(default, deny_unknown_fields, rename_all = "kebab-case")]
 pub struct EntryLimits {
-    /// Milliseconds until a request's header is complete, also on an unused connection.
+    /// Maximum milliseconds until a request's header is complete, also on an idle connection.
     pub header_ms: u64,
-    /// Most bytes of a request's header.
+    /// Maximum size of a request's header in bytes.
     pub header_bytes: usize,
-    /// Milliseconds until the part of a body that is read ahead is there.
+    /// Maximum milliseconds to receive the part of a body that is read ahead.
     pub body_ms: u64,
-    /// Most bytes of a body.
+    /// Maximum size of a body in bytes.
     pub body_bytes: u64,
-    /// Most bytes of a body that are kept for a further attempt.
+    /// Maximum bytes of a body kept for a retry.
     pub replay_bytes: usize,
-    /// Most bytes of all bodies together that are kept at once.
+    /// Maximum bytes of all bodies buffered at once.
     pub buffer_bytes: usize,
-    /// Milliseconds from sending to the first byte of the answer.
+    /// Maximum milliseconds from sending to the first byte of the answer.
     pub first_ms: u64,
-    /// Milliseconds without a head after which a model engine is asked whether it has the request.
+    /// Milliseconds without a head after which a model engine is queried for the stream.
     pub probe_ms: u64,
-    /// Milliseconds between two pieces of a body or answer, on either side.
+    /// Maximum milliseconds between two chunks of a body or answer, on either side.
     pub idle_ms: u64,
-    /// Milliseconds until the answer begins, where the caller states no deadline.
+    /// Default deadline in milliseconds for the answer to begin.
     pub deadline_ms: u64,
-    /// Most connections of callers.
+    /// Maximum number of caller connections.
     pub connections: usize,
 }
 
@@ -112,24 +112,24 @@
     }
 }
 
-/// What an entry is built from.
+/// Components of an entry.
 #[derive(Clone)]
 pub struct EntryParts {
-    /// The instance.
+    /// Name of the instance.
     pub name: InstanceName,
-    /// Way to the dispatchers.
+    /// Access to the dispatchers.
     pub dispatch: Dispatch,
     /// Claims of requests that may not be repeated.
     pub claims: ClaimBook,
-    /// Way to tell the peers of suspect requests.
+    /// Notifies the peers of suspect requests.
     pub spread: SpreadCall,
     /// The configuration in force.
     pub config: watch::Receiver<Arc<Config>>,
-    /// Source of moments.
+    /// Clock of the instance.
     pub clock: Clock,
-    /// Ring of events.
+    /// Ring buffer of events.
     pub timeline: Timeline,
-    /// Counters.
+    /// Metrics.
     pub metrics: EntryMetrics,
     /// Limits.
     pub limits: EntryLimits,
@@ -142,7 +142,7 @@
 }
 
 impl Entry {
-    /// An entry that serves nothing yet.
+    /// Creates an entry that does not serve yet.
     #[must_use]
     pub fn new(parts: EntryParts) -> Self {
         Self {
@@ -150,8 +150,8 @@
         }
     }
 
-    /// Serves callers at `listener` until `shutdown`, then ends the open exchanges and what runs
-    /// on for callers that have gone.
+    /// Serves callers on `listener` until `shutdown`, then completes the open exchanges and the
+    /// requests that outlive their callers.
     pub async fn serve(&self, listener: TcpListener, shutdown: impl Future<Output = ()>) {
         let core = self.core.clone();
         let handle = move |request| handle(core.clone(), request);
@@ -167,36 +167,36 @@
         }
     }
 
-    /// Refuses new requests from now on. Those accepted go on.
+    /// Refuses new requests from now on. Accepted requests continue.
     pub fn drain(&self) {
         self.core.drain();
     }
 
-    /// Number of requests accepted and not ended, waiting ones included.
+    /// Returns the number of open requests, including waiting ones.
     #[must_use]
     pub fn running(&self) -> usize {
         self.core.open_calls()
     }
 
-    /// Number of attempts granted and not ended.
+    /// Returns the number of open granted attempts.
     #[must_use]
     pub fn granted(&self) -> usize {
         self.core.ledger.len()
     }
 
-    /// What is known about suspect requests, the latest `most` of them, for the peers.
+    /// Returns the latest `most` suspicions, to be sent to the peers.
     #[must_use]
     pub fn suspicions(&self, most: usize) -> Vec<Suspicion> {
         let now = self.core.clock.now();
         self.core.suspects().suspicions(now, most)
     }
 
-    /// Takes in what peers know about suspect requests.
+    /// Merges suspicions received from peers.
     pub fn learn(&self, told: Vec<Suspicion>) {
         self.core.learn(told);
     }
 
-    /// Takes in what a peer tells of one request and returns what is known of it here.
+    /// Merges a peer's suspicion of one request and returns the merged state.
     #[must_use]
     pub fn exchange(&self, told: Suspicion) -> Option<Suspicion> {
         let now = self.core.clock.now();
@@ -206,14 +206,14 @@
         suspects.suspicion(now, request)
     }
 
-    /// What the entry runs of `cell`.
+    /// Returns the attempts that the entry runs in `cell`.
     #[must_use]
     pub fn census(&self, cell: &CellId) -> Census {
         self.core.ledger.census(&self.core.name, cell)
     }
 }
 
-/// Answers one request.
+/// Handles one request.
 async fn handle(core: Arc<Core>, request: Request<Incoming>) -> Response {
     let id = RequestId(rand::random());
     let open = Open::new(core.clone());
