--- a/cornelstand/src/entry_core.rs
+++ b/cornelstand/src/entry_core.rs
@@ -1,4 +1,4 @@
-//! What all requests of one entry share.
+//! State shared by all requests of one entry.
 
 use std::collections::{HashMap, HashSet};
 use std::net::SocketAddr;
@@ -25,10 +25,10 @@
 use crate::timeline::{Timeline, Topic};
 use crate::upstream::Upstreams;
 
-/// Bytes by which buffers are counted.
+/// Granularity of buffer accounting, in bytes.
 const BUFFER_UNIT: usize = 1024;
 
-/// Everything that the requests of an entry share.
+/// State shared by all requests of an entry.
 pub(crate) struct Core {
     pub(crate) name: InstanceName,
     pub(crate) dispatch: Dispatch,
@@ -52,7 +52,7 @@
     draining: AtomicBool,
 }
 
-/// The configuration with what is derived from it.
+/// The configuration and the key index derived from it.
 #[derive(Clone, Default)]
 pub(crate) struct View {
     pub(crate) config: Arc<Config>,
@@ -86,7 +86,7 @@
         }
     }
 
-    /// Watches for pauses of the process, without end.
+    /// Detects pauses of the process; never returns.
     pub(crate) async fn watch_pauses(&self) {
         self.pauses.tick(self.clock.now());
         loop {
@@ -106,12 +106,12 @@
         self.timeline.record(Topic::Process, "draining", name, None);
     }
 
-    /// Tells whether new requests are refused.
+    /// Returns whether new requests are refused.
     pub(crate) fn is_draining(&self) -> bool {
         self.draining.load(Ordering::Relaxed)
     }
 
-    /// Number of requests accepted and not ended.
+    /// Returns the number of open requests.
     pub(crate) fn open_calls(&self) -> usize {
         *self.calls.borrow()
     }
@@ -119,49 +119,49 @@
     /// Waits until no request is open.
     pub(crate) async fn idle(&self) {
         let mut calls = self.calls.subscribe();
-        // The sender is part of this.
+        // Cannot fail: `self` owns the sender.
         let _ = calls.wait_for(|&open| open == 0).await;
     }
 
-    /// Room for `bytes` of a body, or `None` if there is none for `wait`.
+    /// Reserves buffer space for a body of `bytes`, or returns `None` after `wait`.
     pub(crate) async fn room(&self, bytes: usize, wait: Duration) -> Option<OwnedSemaphorePermit> {
         let units = u32::try_from(bytes.div_ceil(BUFFER_UNIT)).ok()?;
         let permit = self.buffers.clone().acquire_many_owned(units);
         timeout(wait, permit).await.ok()?.ok()
     }
 
-    /// The configuration in force.
+    /// Returns the configuration in force.
     pub(crate) fn config(&self) -> Arc<Config> {
         self.config.borrow().clone()
     }
 
-    /// Counts what a caller got.
+    /// Counts a request by its result.
     pub(crate) fn count(&self, result: &str) {
         let requests = &self.metrics.requests;
         requests.with_label_values(&[result]).inc();
     }
 
-    /// The retry budgets.
+    /// Locks the retry budgets.
     pub(crate) fn budgets(&self) -> MutexGuard<'_, RetryBudgets> {
         lock(&self.budgets)
     }
 
-    /// The suspect requests.
+    /// Locks the suspect requests.
     pub(crate) fn suspects(&self) -> MutexGuard<'_, Suspects> {
         lock(&self.suspects)
     }
 
-    /// Endpoints that have a suspect request of this entry.
+    /// Locks the set of endpoints that run a suspect request of this entry.
     pub(crate) fn trials(&self) -> MutexGuard<'_, HashSet<EndpointName>> {
         lock(&self.trials)
     }
 
-    /// Boot identity that an endpoint showed last.
+    /// Returns the last boot identity reported by an endpoint.
     pub(crate) fn boot(&self, endpoint: &EndpointName) -> Option<BootId> {
         lock(&self.boots).get(endpoint).copied()
     }
 
-    /// Notes the boot identity that an endpoint shows.
+    /// Stores the boot identity reported by an endpoint.
     pub(crate) fn note_boot(&self, endpoint: &EndpointName, boot: BootId) {
         let mut boots = lock(&self.boots);
         if boots.get(endpoint) != Some(&boot) {
@@ -169,19 +169,19 @@
         }
     }
 
-    /// Replaces the pool of connections to `address`.
+    /// Replaces the connection pool of `address`.
     pub(crate) fn replace_pool(&self, address: SocketAddr) {
         self.metrics.pools.inc();
         self.upstreams.replace(address);
     }
 
-    /// Tells a model engine that nobody waits for an attempt any more.
+    /// Cancels an attempt at a model engine in the background.
     pub(crate) fn cancel(self: &Arc<Self>, address: SocketAddr, attempt: AttemptId) {
         let core = self.clone();
         tokio::spawn(async move { core.upstreams.cancel(address, attempt).await });
     }
 
-    /// The configuration in force with its keys.
+    /// Returns the configuration in force with its key index.
     pub(crate) fn view(&self) -> View {
         let config = self.config();
         let mut view = lock(&self.view);
@@ -193,7 +193,7 @@
         view.clone()
     }
 
-    /// Drops what belongs to endpoints and accounts that `config` does not have.
+    /// Drops state of endpoints, accounts and services that `config` does not have.
     fn forget(&self, config: &Config) {
         let known = |address| config.endpoints.values().any(|e| e.address == address);
         self.upstreams.retain(known);
@@ -208,7 +208,7 @@
     mutex.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
-/// Counts a request until it ends.
+/// Counts a request as open until dropped.
 pub(crate) struct Open(Arc<Core>);
 
 impl Open {
