--- a/cornelstand/src/entry_metrics.rs
+++ b/cornelstand/src/entry_metrics.rs
@@ -1,46 +1,46 @@
-//! Counters of an entry.
+//! Metrics of an entry.
 
 use prometheus::{IntCounter, IntCounterVec, IntGauge, Opts, Registry};
 
-/// Counters of an entry, registered once.
+/// Metrics of an entry, registered once.
 #[derive(Clone, Debug)]
 pub struct EntryMetrics {
-    /// Requests by what the caller got: `answered`, `replayed`, `cut`, `gone` or a refusal's outcome.
+    /// Requests by result: `answered`, `replayed`, `cut`, `gone` or a refusal's outcome.
     pub(crate) requests: IntCounterVec,
     /// Refusals by kind of problem.
     pub(crate) refusals: IntCounterVec,
-    /// Attempts by how they ended.
+    /// Attempts by ending.
     pub(crate) attempts: IntCounterVec,
-    /// Further attempts by reason: `withdrawn`, `paused`, `unconnected`, `lost` or `overloaded`.
+    /// Retries by reason: `crossed`, `withdrawn`, `paused`, `unconnected`, `lost` or `overloaded`.
     pub(crate) retries: IntCounterVec,
-    /// Retries of lost attempts that the budgets did not allow.
+    /// Retries of lost attempts denied by the retry budgets.
     pub(crate) unbudgeted: IntCounter,
-    /// Claims by how they were settled: `recorded`, `released`, `unknown` or `unsettled`.
+    /// Claims by settlement: `recorded`, `released`, `unknown` or `unsettled`.
     pub(crate) claims: IntCounterVec,
-    /// Streams resumed, by result: `resumed`, `unknown`, `down` or `failed`.
+    /// Stream resumptions by result: `resumed`, `unknown`, `down` or `failed`.
     pub(crate) resumes: IntCounterVec,
     /// Attempts lost because the endpoint crashed.
     pub(crate) crashes: IntCounter,
-    /// Answers that named another attempt.
+    /// Answers that belong to another attempt.
     pub(crate) foreign: IntCounter,
-    /// Pools of connections replaced.
+    /// Connection pools replaced.
     pub(crate) pools: IntCounter,
     /// Pauses of the process.
     pub(crate) pauses: IntCounter,
-    /// Requests accepted and not ended.
+    /// Open requests.
     pub(crate) open: IntGauge,
-    /// Requests that wait for an endpoint.
+    /// Requests waiting for an endpoint.
     pub(crate) waiting: IntGauge,
-    /// Callers' connections.
+    /// Open caller connections.
     pub(crate) connections: IntGauge,
 }
 
 impl EntryMetrics {
-    /// Registers the counters.
+    /// Registers the metrics.
     ///
     /// # Errors
     ///
-    /// If `registry` has counters of the same names already.
+    /// If `registry` already has metrics of the same names.
     pub fn new(registry: &Registry) -> prometheus::Result<Self> {
         let vec = |name: &str, help: &str, label: &str| {
             let counter = IntCounterVec::new(Opts::new(name, help), &[label])?;
