--- a/cornelstand/src/head.rs
+++ b/cornelstand/src/head.rs
@@ -1,8 +1,8 @@
-//! The wait for the head of an endpoint's answer.
+//! Waiting for the head of an endpoint's answer.
 //!
-//! A model engine can be asked on a new connection whether it knows a stream. That tells a
-//! connection that is silent for good from an engine that takes its time, long before the
-//! deadline, and picks the stream up without a second run.
+//! A model engine can be asked for a stream on a new connection. That distinguishes a dead
+//! connection from a slow engine long before the deadline, and resumes the stream without running
+//! the request twice.
 
 use std::time::Duration;
 
@@ -17,15 +17,15 @@
 use crate::relay::{Origin, Resumed};
 use crate::upstream::Upcall;
 
-/// Why there is no head.
+/// Why no head was received.
 pub(crate) enum HeadError {
-    /// No connection was made.
+    /// No connection was established.
     Unconnected(ConnectError),
     /// The request may have been sent.
     Lost(Loss),
 }
 
-/// The part of a chat completion's body that tells how it is answered.
+/// The part of a chat completion request that selects streaming.
 #[derive(Deserialize)]
 struct ChatForm {
     #[serde(default)]
@@ -75,13 +75,13 @@
         head_of(send.await)
     }
 
-    /// The engine has the stream, and the connection that it was asked on did not bring it.
+    /// Replaces the pool, since the engine has the stream but its connection did not deliver it.
     fn picked_up(&self, answer: Response, origin: &Origin) -> Response {
         self.core.replace_pool(origin.address);
         answer
     }
 
-    /// Tells whether the answer is a stream that the engine can give again.
+    /// Returns whether the answer is a stream that the engine can resume.
     fn is_resumable(&self) -> bool {
         let CallBody::Whole(body) = &self.body else {
             return false;
