--- a/cornelstand/src/headers.rs
+++ b/cornelstand/src/headers.rs
@@ -1,7 +1,7 @@
-//! What a caller says about a request in its headers.
+//! Request headers: parsing of the caller's options and forwarding.
 //!
-//! Every value is bounded and checked before anything is done with the request. Hop-by-hop
-//! headers end here, as do those that are meant for the fleet alone.
+//! Every value is bounded and validated before the request is processed. Hop-by-hop headers and
+//! those meant only for the fleet are not forwarded.
 
 use std::time::Duration;
 
@@ -20,31 +20,31 @@
 pub(crate) const ENDPOINT_BOOT: HeaderName = HeaderName::from_static("x-endpoint-boot");
 const IDEMPOTENCY_KEY: HeaderName = HeaderName::from_static("idempotency-key");
 const COST_HINT: HeaderName = HeaderName::from_static("x-cost-hint");
-/// Header with the time left until the answer has to begin.
+/// Header with the time left until the answer is due to begin.
 pub(crate) const DEADLINE_MS: HeaderName = HeaderName::from_static("x-deadline-ms");
 const KEEP_ALIVE: HeaderName = HeaderName::from_static("keep-alive");
 const PROXY_CONNECTION: HeaderName = HeaderName::from_static("proxy-connection");
 
-/// Longest idempotency key, in bytes.
+/// Maximum length of an idempotency key in bytes.
 pub const IDEMPOTENCY_KEY_BYTES: usize = 128;
-/// Longest account key, in bytes.
+/// Maximum length of an account key in bytes.
 pub const ACCOUNT_KEY_BYTES: usize = 256;
 /// Largest cost hint, in the unit of the service's kind.
 pub const MAX_HINT: u64 = 10_000_000;
-/// Longest deadline.
+/// Maximum deadline.
 pub const MAX_DEADLINE: Duration = Duration::from_hours(24);
 
 /// Error in a caller's headers.
 #[derive(Debug, Eq, PartialEq, Snafu)]
 #[snafu(visibility(pub(crate)))]
 pub enum HeaderError {
-    /// A header that may stand once stands more than once.
+    /// A single-valued header is given more than once.
     #[snafu(display("{name} is given more than once"))]
     Twice {
         /// The header.
         name: HeaderName,
     },
-    /// A value has other characters than visible ASCII.
+    /// A value has characters other than visible ASCII.
     #[snafu(display("{name} has characters other than visible ASCII"))]
     Characters {
         /// The header.
@@ -55,41 +55,41 @@
     Length {
         /// The header.
         name: HeaderName,
-        /// Bytes given.
+        /// Length in bytes.
         bytes: usize,
-        /// Most bytes allowed.
+        /// Maximum length in bytes.
         most: usize,
     },
-    /// A value is no number in its range.
+    /// A value is not a number within its range.
     #[snafu(display("{name} is no whole number from 1 to {most}"))]
     Number {
         /// The header.
         name: HeaderName,
-        /// Largest number allowed.
+        /// Maximum value.
         most: u64,
     },
-    /// The scheme of the authorization is another one.
+    /// The authorization does not use the Bearer scheme.
     #[snafu(display("authorization is not of the form \"Bearer KEY\""))]
     Scheme,
 }
 
-/// What a caller says about a request.
+/// Request options given in the headers.
 #[derive(Clone, Debug, Default, Eq, PartialEq)]
 pub struct Wishes {
-    /// Key by which a repetition is recognised.
+    /// Idempotency key, which identifies a repeated request.
     pub key: Option<String>,
     /// Expected cost, in the unit of the service's kind.
     pub hint: Option<u64>,
-    /// Longest time until the answer begins.
+    /// Maximum time until the answer begins.
     pub deadline: Option<Duration>,
 }
 
 impl Wishes {
-    /// Reads the wishes from `headers`.
+    /// Parses the options in `headers`.
     ///
     /// # Errors
     ///
-    /// A [`HeaderError`] that names the first header with a fault.
+    /// A [`HeaderError`] that names the first invalid header.
     pub fn parse(headers: &HeaderMap) -> Result<Self, HeaderError> {
         let key = single(headers, IDEMPOTENCY_KEY)?
             .map(|v| visible(IDEMPOTENCY_KEY, v, IDEMPOTENCY_KEY_BYTES))
@@ -106,11 +106,11 @@
     }
 }
 
-/// The account's key in `headers`, `None` if there is no authorization.
+/// Returns the account key in `headers`, or `None` without an authorization header.
 ///
 /// # Errors
 ///
-/// A [`HeaderError`] if there is one of another form.
+/// A [`HeaderError`] if the authorization header is malformed.
 pub fn bearer_key(headers: &HeaderMap) -> Result<Option<&str>, HeaderError> {
     let Some(value) = single(headers, AUTHORIZATION)? else {
         return Ok(None);
@@ -121,7 +121,7 @@
     checked(AUTHORIZATION, key.trim(), ACCOUNT_KEY_BYTES).map(Some)
 }
 
-/// The headers of a request or answer that go on to the other side.
+/// Returns the end-to-end headers of a request or answer.
 pub(crate) fn forwarded(headers: &HeaderMap) -> HeaderMap {
     let named = connection_options(headers);
     headers
@@ -131,11 +131,11 @@
         .collect()
 }
 
-/// The headers of a caller's request that go on to the endpoint.
+/// Returns the headers of a caller's request that are forwarded to the endpoint.
 pub(crate) fn for_endpoint(headers: &HeaderMap, kind: Kind) -> HeaderMap {
     let mut kept = forwarded(headers);
     if kind == Kind::Model {
-        // A compressed stream of events could not be read for its end.
+        // The end of a compressed event stream could not be detected.
         kept.remove(ACCEPT_ENCODING);
     }
     for name in [
