--- a/cornelstand/src/listener.rs
+++ b/cornelstand/src/listener.rs
@@ -1,10 +1,9 @@
 //! HTTP server for callers' connections.
 //!
-//! `warp::serve` sets no deadline for request headers and no limit on connections, and its
-//! acceptor cannot be replaced. Connections are therefore served by the HTTP library that warp is
-//! built on and re-exports, which closes a connection that does not send the whole header in time:
-//! a half-open one that sends nothing, and an unused one between two requests. A closed connection
-//! leaves room for the next one.
+//! `warp::serve` has no timeout for request headers and no connection limit, and its acceptor
+//! cannot be replaced. Connections are therefore served with hyper, which warp is built on and
+//! re-exports. It closes a connection that does not send a complete header in time, be it half-open
+//! or idle between two requests, which frees its slot for another connection.
 
 use std::convert::Infallible;
 use std::future::Future;
@@ -24,25 +23,25 @@
 use warp::hyper::service::service_fn;
 use warp::reply::Response;
 
-/// Pause after an error of accepting that is not the connection's own.
+/// Pause after a failed accept.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(100);
-/// Bytes read from a connection at once.
+/// Maximum bytes per read from a connection.
 const READ_BYTES: usize = 16 * 1024;
-/// Most headers of a request.
+/// Maximum number of headers of a request.
 const MAX_HEADERS: usize = 100;
 
-/// Limits of callers' connections.
+/// Limits on caller connections.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct ConnectionLimits {
-    /// Longest time until a request's header is complete.
+    /// Maximum time until a request's header is complete.
     pub(crate) header: Duration,
-    /// Most bytes of a request's header.
+    /// Maximum size of a request's header in bytes.
     pub(crate) bytes: usize,
-    /// Most connections.
+    /// Maximum number of connections.
     pub(crate) count: usize,
 }
 
-/// Serves requests with `handle` until `shutdown`, then ends the open exchanges.
+/// Serves requests with `handle` until `shutdown`, then completes the open exchanges.
 pub(crate) async fn serve<H, F>(
     listener: TcpListener,
     limits: ConnectionLimits,
@@ -120,7 +119,7 @@
     let _ = connection.await;
 }
 
-/// Tokio's TCP stream as the HTTP library reads and writes it.
+/// Adapts Tokio's TCP stream to hyper's I/O traits.
 #[derive(Debug)]
 struct Io(TcpStream);
 
@@ -169,7 +168,7 @@
     }
 }
 
-/// Tokio's timers for the HTTP library.
+/// Adapts Tokio's timers to hyper's timer trait.
 #[derive(Clone, Copy, Debug)]
 struct TokioTimer;
 
