--- a/cornelstand/src/path.rs
+++ b/cornelstand/src/path.rs
@@ -1,8 +1,8 @@
-//! Paths of callers' requests.
+//! Request paths.
 //!
-//! The rule of a call goes by its path, and the endpoint gets the path as the caller wrote it. So
-//! that both mean the same call, the rule is looked up for the decoded path, and a path that an
-//! endpoint may take for another one is refused.
+//! The route of a request is selected by its path, and the endpoint receives the path as the caller
+//! sent it. To keep both consistent, the route is looked up by the decoded path, and a path that
+//! an endpoint may interpret differently is refused.
 
 use snafu::{Snafu, ensure};
 
@@ -12,7 +12,7 @@
     /// The path has a segment `.` or `..`.
     #[snafu(display("the path has a dot segment"))]
     DotSegment,
-    /// The path has a character that ends a segment in some implementations only.
+    /// The path has a character that only some implementations treat as a separator.
     #[snafu(display("the path has a backslash, an encoded slash or a control character"))]
     Ambiguous,
     /// A percent sign is not followed by two hexadecimal digits.
@@ -25,9 +25,9 @@
 pub struct CallPath<'a> {
     /// Name of the service.
     pub service: &'a str,
-    /// The rest as the caller wrote it, beginning with a slash.
+    /// The rest as sent by the caller, beginning with a slash.
     pub raw: &'a str,
-    /// The rest for the lookup of rules: decoded and without repeated slashes.
+    /// The rest for route lookup: decoded and without repeated slashes.
     pub plain: String,
 }
 
@@ -35,7 +35,7 @@
 ///
 /// # Errors
 ///
-/// [`PathError`] if an endpoint may take the path for another one.
+/// [`PathError`] if an endpoint may interpret the path differently.
 pub fn split_path(path: &str) -> Result<CallPath<'_>, PathError> {
     let rest = path.strip_prefix('/').unwrap_or(path);
     let slash = rest.find('/').unwrap_or(rest.len());
