--- a/cornelstand/src/problem.rs
+++ b/cornelstand/src/problem.rs
@@ -1,7 +1,7 @@
 //! Refusals as problem documents (RFC 9457).
 //!
-//! Every document has the member `outcome`. The value `not-run` needs the proof of
-//! [`Verdict::NotRun`], so that it can't be claimed for a request that was sent.
+//! Every document has the member `outcome`. The value `not-run` requires the proof in
+//! [`Verdict::NotRun`], so that it cannot be reported for a request that was sent.
 
 use std::time::Duration;
 
@@ -17,7 +17,7 @@
 /// Media type of a problem document.
 pub const PROBLEM_TYPE: &str = "application/problem+json";
 
-/// What kind of problem it is.
+/// Kind of a problem.
 #[derive(Clone, Copy, Debug, Display, Eq, Hash, PartialEq, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum ProblemKind {
@@ -30,13 +30,13 @@
     /// The path names no service.
     #[display("unknown service")]
     UnknownService,
-    /// The path cannot be passed on.
+    /// The path cannot be forwarded.
     #[display("malformed path")]
     BadPath,
     /// The body is too large.
     #[display("body too large")]
     BodyTooLarge,
-    /// The body broke off or came too slowly.
+    /// The body ended early or arrived too slowly.
     #[display("incomplete body")]
     BodyIncomplete,
     /// The call may not be repeated and has no idempotency key.
@@ -45,13 +45,13 @@
     /// The idempotency key was used for another request.
     #[display("idempotency key of another request")]
     KeyReused,
-    /// The request with this idempotency key still runs.
+    /// The request with this idempotency key is still running.
     #[display("request still running")]
     StillRunning,
     /// The outcome of the request with this idempotency key is not known.
     #[display("outcome unknown")]
     OutcomeUnknown,
-    /// The platform's store cannot be asked.
+    /// The platform's store is unavailable.
     #[display("store unavailable")]
     StoreUnavailable,
     /// The account's queue is full.
@@ -63,22 +63,22 @@
     /// No endpoint takes new work.
     #[display("no endpoint available")]
     NoEndpoint,
-    /// The instance is about to stop, or has no room.
+    /// The instance is stopping or out of buffer space.
     #[display("instance unavailable")]
     Unavailable,
-    /// The endpoint was lost while it ran the request.
+    /// The endpoint was lost while running the request.
     #[display("endpoint lost")]
     EndpointLost,
     /// The endpoint did not answer in time.
     #[display("endpoint silent")]
     EndpointSilent,
-    /// Endpoints crashed while they ran this request.
+    /// Endpoints crashed while running this request.
     #[display("request suspected of crashing endpoints")]
     Suspect,
 }
 
 impl ProblemKind {
-    /// Status of the answer.
+    /// Returns the HTTP status.
     #[must_use]
     pub fn status(self) -> StatusCode {
         match self {
@@ -99,7 +99,7 @@
         }
     }
 
-    /// Name in the problem's type, a URN.
+    /// Returns the last part of the problem type URN.
     fn slug(self) -> String {
         self.to_string().replace(' ', "-")
     }
@@ -110,11 +110,11 @@
 pub struct Problem {
     /// Kind of problem.
     pub kind: ProblemKind,
-    /// What the caller may conclude.
+    /// Execution status reported to the caller.
     pub verdict: Verdict,
-    /// What happened, for people.
+    /// Human-readable explanation.
     pub detail: String,
-    /// Time after which to try again, where waiting helps.
+    /// Delay after which a retry may succeed.
     pub retry: Option<Duration>,
 }
 
@@ -129,7 +129,7 @@
 }
 
 impl Problem {
-    /// A problem that waiting does not help.
+    /// Creates a problem without a retry delay.
     #[must_use]
     pub fn new(kind: ProblemKind, verdict: Verdict, detail: impl Into<String>) -> Self {
         Self {
@@ -140,14 +140,14 @@
         }
     }
 
-    /// Says when to try again.
+    /// Sets the retry delay.
     #[must_use]
     pub fn retry_after(mut self, wait: Duration) -> Self {
         self.retry = Some(wait);
         self
     }
 
-    /// The answer to `request`.
+    /// Builds the answer to `request`.
     #[must_use]
     pub fn answer(&self, request: RequestId) -> http::Response<Vec<u8>> {
         let document = Document {
@@ -171,12 +171,12 @@
     }
 }
 
-/// Header value of a request's identity.
+/// Returns the header value of a request's identity.
 pub(crate) fn id_value(request: RequestId) -> HeaderValue {
     HeaderValue::from_str(&request.to_string()).unwrap_or_else(|_| HeaderValue::from_static(""))
 }
 
-/// Whole seconds, rounded up, at least one.
+/// Rounds up to whole seconds, at least one.
 fn seconds(wait: Duration) -> u64 {
     let part = u64::from(wait.subsec_nanos() > 0);
     wait.as_secs().saturating_add(part).max(1)
