--- a/cornelstand/src/refusal.rs
+++ b/cornelstand/src/refusal.rs
@@ -1,4 +1,4 @@
-//! The refusals of a request that is on its way, each with what it proves.
+//! Refusals of admitted requests, each with the proof of its outcome.
 
 use std::time::Duration;
 
@@ -8,7 +8,7 @@
 use crate::dispatch::Refusal;
 use crate::problem::{Problem, ProblemKind};
 
-/// Wait that a refusal suggests when another attempt may go better.
+/// Suggested delay when a retry may succeed.
 const RETRY: Duration = Duration::from_secs(1);
 
 /// The dispatcher did not grant the request.
@@ -32,7 +32,7 @@
     Problem::new(ProblemKind::DeadlinePassed, ready.refuse(), detail).retry_after(RETRY)
 }
 
-/// A sent request has no answer and is not tried again.
+/// A sent request was lost and is not retried.
 pub(crate) fn lost(attempt: Lost, loss: Loss) -> Problem {
     let kind = match loss {
         Loss::Silent => ProblemKind::EndpointSilent,
@@ -41,19 +41,19 @@
     Problem::new(kind, attempt.refuse(), loss.to_string())
 }
 
-/// Engines refused the request as more than they bear.
+/// Engines refused the request because they are overloaded.
 pub(crate) fn overloaded(attempt: Lost) -> Problem {
     let detail = "the endpoints are overloaded";
     Problem::new(ProblemKind::NoEndpoint, attempt.refuse(), detail).retry_after(RETRY)
 }
 
-/// The caller's deadline passed while an endpoint had the request.
+/// The caller's deadline passed after the request was sent.
 pub(crate) fn late(attempt: Lost) -> Problem {
     let detail = "the deadline passed before the answer began";
     Problem::new(ProblemKind::DeadlinePassed, attempt.refuse(), detail)
 }
 
-/// The caller's body broke off while it was passed on.
+/// The caller's body failed while it was forwarded.
 pub(crate) fn body_broke(attempt: Lost, fault: BodyError) -> Problem {
     let kind = match fault {
         BodyError::TooLarge { .. } => ProblemKind::BodyTooLarge,
@@ -62,13 +62,13 @@
     Problem::new(kind, attempt.refuse(), fault.to_string())
 }
 
-/// Endpoints crashed while they ran this request.
+/// Endpoints crashed while running this request.
 pub(crate) fn suspect(left: Duration) -> Problem {
     let detail = "endpoints crashed while they ran this request; it is not run again for now";
     Problem::new(ProblemKind::Suspect, Verdict::Failed, detail).retry_after(left)
 }
 
-/// The request cannot be claimed now.
+/// The request could not be claimed.
 pub(crate) fn unclaimed(proof: NotRun, error: ClaimError) -> Problem {
     let kind = ProblemKind::StoreUnavailable;
     let verdict = Verdict::NotRun(proof);
@@ -81,19 +81,19 @@
     Problem::new(ProblemKind::KeyReused, Verdict::NotRun(proof), detail)
 }
 
-/// The request with this key was sent before and has not ended.
+/// The request with this key is still running.
 pub(crate) fn still_running() -> Problem {
     let detail = "a request with this idempotency key is running";
     Problem::new(ProblemKind::StillRunning, Verdict::Unknown, detail).retry_after(RETRY)
 }
 
-/// The request with this key was sent before, and its end is not known.
+/// The request with this key was sent before, with unknown outcome.
 pub(crate) fn outcome_unknown() -> Problem {
     let detail = "a request with this idempotency key was sent and its outcome is not known";
     Problem::new(ProblemKind::OutcomeUnknown, Verdict::Unknown, detail)
 }
 
-/// The request with this key was answered, but its answer was too long to keep.
+/// The request with this key was answered, but its answer was too long to record.
 pub(crate) fn not_kept(status: u16) -> Problem {
     let detail = format!("the request ran and was answered with {status}; the answer is not kept");
     Problem::new(ProblemKind::OutcomeUnknown, Verdict::Unknown, detail)
