--- a/cornelstand/src/relay.rs
+++ b/cornelstand/src/relay.rs
@@ -1,8 +1,8 @@
-//! Answers of endpoints, piece by piece, with their ends checked.
+//! Streaming of endpoints' answers, with detection of truncated ones.
 //!
-//! A [`Source`] gives pieces that can go to the caller and ends only when the answer is whole:
-//! server-sent events after their last event, other answers after their stated length or last
-//! chunk. A stream that is cut is resumed on a new connection after the last whole event.
+//! A [`Source`] yields bytes for the caller and ends only when complete: an event stream after its
+//! last event, another answer after its content-length or last chunk. A truncated event stream is
+//! resumed on a new connection after the last complete event.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -20,20 +20,20 @@
 use crate::sse::{self, Scanner};
 use crate::upstream::is_foreign;
 
-/// Most resumptions of a stream without a new event between them.
+/// Maximum resumptions of a stream without a new event in between.
 const RESUMES: u32 = 3;
-/// Most bytes of a whole answer that are kept to find its usage.
+/// Maximum bytes of a non-streamed answer kept to find its usage.
 const USAGE_BYTES: usize = 256 * 1024;
-/// Pause before a stream is asked for once more, growing with each time.
+/// Pause before another resumption, multiplied by the number of tries.
 const PAUSE: Duration = Duration::from_millis(100);
-/// Longest wait for an engine to take up a stream again.
+/// Timeout for an engine to resume a stream.
 const RESUME: Duration = Duration::from_secs(2);
-/// Longest wait for the end of a stream after its last event.
+/// Timeout for the end of a stream after its last event.
 const TAIL: Duration = Duration::from_secs(1);
 
 type Bytestream = BoxStream<'static, reqwest::Result<Bytes>>;
 
-/// Where an answer comes from.
+/// Endpoint and attempt that an answer comes from.
 #[derive(Clone)]
 pub(crate) struct Origin {
     pub(crate) core: Arc<Core>,
@@ -41,7 +41,7 @@
     pub(crate) attempt: AttemptId,
 }
 
-/// Form of an answer's body.
+/// Kind of an answer's body.
 enum Form {
     Events { scanner: Scanner, resumes: u32 },
     Whole { seen: Vec<u8>, watched: bool },
@@ -54,7 +54,7 @@
     form: Form,
 }
 
-/// Tells whether an answer is a stream of server-sent events that can be read.
+/// Returns whether an answer is a readable stream of server-sent events.
 pub(crate) fn is_events(headers: &HeaderMap) -> bool {
     let is_typed = headers
         .get(CONTENT_TYPE)
@@ -63,7 +63,7 @@
     is_typed && !headers.contains_key(CONTENT_ENCODING)
 }
 
-/// Tells whether the end of an answer can be told from a cut.
+/// Returns whether the end of an answer can be distinguished from a truncation.
 pub(crate) fn has_end(method: &Method, status: StatusCode, headers: &HeaderMap) -> bool {
     let bodyless = method == Method::HEAD
         || status == StatusCode::NO_CONTENT
@@ -72,7 +72,7 @@
 }
 
 impl Source {
-    /// The body of `answer`; `model` tells whether it may hold a usage figure.
+    /// Wraps the body of `answer`; `model` tells whether it may contain token usage.
     pub(crate) fn new(origin: Origin, answer: Response, model: bool) -> Self {
         let form = if model && is_events(answer.headers()) {
             Form::Events {
@@ -92,7 +92,7 @@
         }
     }
 
-    /// The next piece for the caller, `None` after the end of a whole answer.
+    /// Returns the next bytes for the caller, `None` at the end of a complete answer.
     pub(crate) async fn next(&mut self, wait: Duration) -> Result<Option<Bytes>, Loss> {
         match &mut self.form {
             Form::Whole { seen, watched } => {
@@ -106,7 +106,7 @@
         }
     }
 
-    /// Cost in tokens so far, as far as the answer tells.
+    /// Returns the cost in tokens so far, if the answer reports it.
     pub(crate) fn tokens(&self) -> Option<u64> {
         match &self.form {
             Form::Events { scanner, .. } => Some(scanner.tokens().unwrap_or(scanner.chunks())),
@@ -123,7 +123,7 @@
         }
     }
 
-    /// The next whole events of the present stream.
+    /// Returns the next complete events of the current stream.
     async fn pull_events(&mut self, wait: Duration) -> Result<Option<Bytes>, Loss> {
         let Form::Events { scanner, resumes } = &mut self.form else {
             return Ok(None);
@@ -142,7 +142,7 @@
         }
     }
 
-    /// Takes the stream up again after its last whole event.
+    /// Resumes the stream after its last complete event.
     async fn resume(&mut self, loss: Loss) -> Result<(), Loss> {
         let Form::Events { scanner, resumes } = &mut self.form else {
             return Err(loss);
@@ -166,20 +166,20 @@
     }
 }
 
-/// What an engine says about a stream.
+/// Result of asking an engine to resume a stream.
 pub(crate) enum Resumed {
-    /// It gives the rest.
+    /// The engine sends the rest of the stream.
     Stream(Response),
-    /// It does not know the stream.
+    /// The engine does not know the stream.
     Unknown,
-    /// It refuses connections.
+    /// The engine refuses connections.
     Down,
-    /// It cannot be asked.
+    /// The engine did not give a usable answer.
     Failed,
 }
 
 impl Origin {
-    /// Asks on a new connection for the rest of the stream after `chunks` of it.
+    /// Requests the rest of the stream after `chunks` chunks on a new connection.
     pub(crate) async fn resume(&self, chunks: u64) -> Resumed {
         let upstreams = &self.core.upstreams;
         let request = upstreams.resume(self.address, self.attempt, chunks);
@@ -218,7 +218,7 @@
     }
 }
 
-/// Reads the end of a stream, so that its connection can be used again.
+/// Reads a stream to its end, so that its connection can be reused.
 async fn drain(stream: &mut Bytestream) {
     let end = async { while let Some(Ok(_)) = stream.next().await {} };
     let _ = tokio::time::timeout(TAIL, end).await;
