--- a/cornelstand/src/sse.rs
+++ b/cornelstand/src/sse.rs
@@ -1,28 +1,28 @@
 //! Scanner of server-sent events.
 //!
-//! It takes a stream's bytes in pieces of any size and gives them back cut at the ends of events,
-//! so that a caller gets whole events only and a cut stream can be resumed after the last of
-//! them. Memory is bounded by the size of one event.
+//! It takes the bytes of a stream in pieces of any size and returns only complete events, so that
+//! an interrupted stream can be resumed after the last event the caller received. Memory use is
+//! bounded by the size of one event.
 
 use bytes::{Bytes, BytesMut};
 use serde::Deserialize;
 use snafu::{Snafu, ensure};
 
-/// Most bytes of one event.
+/// Maximum size of an event in bytes.
 pub const EVENT_BYTES: usize = 256 * 1024;
 
-/// Error in a stream of events.
+/// Error in an event stream.
 #[derive(Clone, Copy, Debug, Eq, PartialEq, Snafu)]
 pub enum SseError {
     /// An event is larger than [`EVENT_BYTES`].
     #[snafu(display("an event has more than {EVENT_BYTES} bytes"))]
     EventTooLarge,
-    /// Something follows the end of the stream.
+    /// Data follows the end of the stream.
     #[snafu(display("bytes after the end of the stream"))]
     AfterEnd,
 }
 
-/// Scanner of one stream.
+/// Scanner of one event stream.
 #[derive(Debug, Default)]
 pub struct Scanner {
     held: BytesMut,
@@ -46,11 +46,11 @@
 }
 
 impl Scanner {
-    /// Takes the next bytes and returns the events that are whole now, as they came.
+    /// Takes the next bytes and returns the events they complete, unchanged.
     ///
     /// # Errors
     ///
-    /// [`SseError`] if the stream breaks the protocol. The scanner is of no use afterwards.
+    /// [`SseError`] if the stream violates the protocol. The scanner must not be used afterwards.
     pub fn push(&mut self, bytes: &[u8]) -> Result<Bytes, SseError> {
         ensure!(!self.done || is_blank(bytes), AfterEndSnafu);
         self.held.extend_from_slice(bytes);
@@ -69,25 +69,25 @@
         Ok(whole)
     }
 
-    /// Forgets an event that is not whole, before the stream is resumed.
+    /// Discards an incomplete event before the stream is resumed.
     pub fn rewind(&mut self) {
         self.held.clear();
         self.searched = 0;
     }
 
-    /// Events with data so far, without the one that ends the stream.
+    /// Returns the number of data events so far, without the one that ends the stream.
     #[must_use]
     pub fn chunks(&self) -> u64 {
         self.chunks
     }
 
-    /// Tokens of prompt and completion, if the stream has told them.
+    /// Returns prompt plus completion tokens, if the stream has reported its usage.
     #[must_use]
     pub fn tokens(&self) -> Option<u64> {
         self.tokens
     }
 
-    /// Tells whether the stream has ended properly.
+    /// Returns whether the final event was received.
     #[must_use]
     pub fn is_done(&self) -> bool {
         self.done
@@ -108,7 +108,7 @@
     }
 }
 
-/// Tokens of prompt and completion that a chunk or whole answer tells.
+/// Returns the prompt plus completion tokens that a chunk or whole answer reports.
 pub(crate) fn usage(json: &[u8]) -> Option<u64> {
     if !json.windows(NEEDLE.len()).any(|w| w == NEEDLE) {
         return None;
@@ -118,10 +118,10 @@
 }
 
 const NEEDLE: &[u8] = b"\"usage\"";
-/// Longest ending of an event: a line's end and a blank line.
+/// Longest terminator of an event: a line ending and a blank line.
 const BLANK_LINE_BYTES: usize = 4;
 
-/// Place after the first event's end at or after `from`, for an event that starts at `start`.
+/// Returns the end of the event that starts at `start`, searching from `from` on.
 fn event_end(held: &[u8], from: usize, start: usize) -> Option<usize> {
     let from = from.max(start);
     (from..held.len()).find_map(|at| {
@@ -133,7 +133,7 @@
     })
 }
 
-/// The first data line of an event.
+/// Returns the first data line of an event.
 fn data(event: &[u8]) -> Option<&[u8]> {
     event
         .split(|b| matches!(b, b'\n' | b'\r'))
