--- a/cornelstand/src/upstream.rs
+++ b/cornelstand/src/upstream.rs
@@ -1,10 +1,10 @@
 //! Connections to endpoints.
 //!
-//! Each endpoint address has an HTTP client with a pool of its own. When a connection of the pool
-//! has gone silent, the whole client is replaced, since what has lost track of one connection has
-//! probably lost track of its neighbours: later requests open new ones, and streams that still
-//! run keep the old client. A request that may not be repeated gets a new connection of its own:
-//! its round trip costs less than an unknown outcome from a pooled connection that was dead.
+//! Each endpoint address has an HTTP client with its own connection pool. When a pooled connection
+//! goes silent, the whole client is replaced, since whatever dropped the state of one connection
+//! has probably dropped that of the others too: later requests open new connections, and running
+//! streams keep the old client. A request that may not be repeated uses a new connection: the extra
+//! round trip costs less than an unknown outcome from a dead pooled connection.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -18,17 +18,17 @@
 use crate::headers::{ENDPOINT_BOOT, REQUEST_ID};
 use crate::name::{AttemptId, BootId};
 
-/// Longest time to open a connection.
+/// Timeout for opening a connection.
 const CONNECT: Duration = Duration::from_secs(2);
-/// Time after which an unused connection is closed.
+/// Time after which an idle pooled connection is closed.
 const POOL_IDLE: Duration = Duration::from_secs(20);
-/// Time between probes of a quiet connection.
+/// Interval of TCP keepalive probes.
 const PROBE: Duration = Duration::from_secs(5);
-/// Unanswered probes after which a connection is broken.
+/// Unanswered keepalive probes after which a connection is closed.
 const PROBES: u32 = 2;
-/// Longest time that sent bytes may stay unacknowledged.
+/// Maximum time that sent bytes may stay unacknowledged.
 const UNACKNOWLEDGED: Duration = Duration::from_secs(10);
-/// Longest time of a cancellation.
+/// Timeout for cancelling a stream.
 const CANCEL: Duration = Duration::from_secs(5);
 
 /// HTTP clients of all endpoints.
@@ -77,7 +77,7 @@
         .await
     }
 
-    /// Asks on a new connection for the rest of a stream after `chunks` of it.
+    /// Requests the rest of a stream after `chunks` chunks on a new connection.
     pub(crate) async fn resume(
         &self,
         address: SocketAddr,
@@ -93,7 +93,7 @@
             .await
     }
 
-    /// Tells an endpoint that nobody waits for a stream any more.
+    /// Cancels a stream at an endpoint; returns whether the endpoint confirmed it.
     pub(crate) async fn cancel(&self, address: SocketAddr, attempt: AttemptId) -> bool {
         let stream = attempt_text(attempt);
         let url = format!("http://{address}/streams/{stream}/cancel");
@@ -101,18 +101,18 @@
         answer.is_ok_and(|a| a.status().is_success())
     }
 
-    /// Asks an endpoint on a new connection which boot identity it has.
+    /// Queries the boot identity of an endpoint on a new connection.
     pub(crate) async fn boot(&self, address: SocketAddr) -> Result<Option<BootId>, reqwest::Error> {
         let answer = self.single.get(format!("http://{address}/load")).send();
         Ok(boot_of(answer.await?.headers()))
     }
 
-    /// Replaces the pool of `address`.
+    /// Drops the pool of `address`; the next request creates a new one.
     pub(crate) fn replace(&self, address: SocketAddr) {
         self.lock().remove(&address);
     }
 
-    /// Forgets the pools of addresses for which `keep` is false.
+    /// Drops the pools of addresses for which `keep` returns false.
     pub(crate) fn retain(&self, keep: impl Fn(SocketAddr) -> bool) {
         self.lock().retain(|&address, _| keep(address));
     }
@@ -129,18 +129,18 @@
     }
 }
 
-/// Identity of an attempt in headers and paths.
+/// Formats the identity of an attempt for headers and paths.
 pub(crate) fn attempt_text(attempt: AttemptId) -> String {
     format!("{}-{}", attempt.request, attempt.number)
 }
 
-/// Boot identity that an endpoint shows.
+/// Returns the boot identity in an endpoint's answer.
 pub(crate) fn boot_of(headers: &HeaderMap) -> Option<BootId> {
     let text = headers.get(ENDPOINT_BOOT)?.to_str().ok()?;
     text.parse().ok().map(BootId)
 }
 
-/// Tells whether an answer names another attempt than `attempt`.
+/// Returns whether an answer belongs to an attempt other than `attempt`.
 pub(crate) fn is_foreign(headers: &HeaderMap, attempt: AttemptId) -> bool {
     headers
         .get(REQUEST_ID)
