--- a/cornelstand/tests/decoders.rs
+++ b/cornelstand/tests/decoders.rs
@@ -1,6 +1,6 @@
-//! Decoders that face a network, against arbitrary, damaged and oversized input.
+//! Decoders of network input, against arbitrary, damaged and oversized input.
 //!
-//! None may panic or keep more than its stated bound, and what cannot be decoded is a typed error.
+//! None may panic or keep more than its stated bound; input that cannot be decoded is an error.
 
 use bytes::Bytes;
 use cornelstand::{
@@ -19,7 +19,7 @@
 const CASES: u32 = 2_000;
 const SEED: [u8; 16] = *b"hostile messages";
 
-/// Checks `test` on the values of `strategy`, the same ones in each run.
+/// Checks `test` on values of `strategy`, with a fixed seed.
 fn check<S: Strategy>(strategy: &S, test: impl Fn(S::Value) -> Result<(), TestCaseError>) {
     let rng = TestRng::from_seed(RngAlgorithm::XorShift, &SEED);
     let cases = Cases {
@@ -41,7 +41,7 @@
     ]
 }
 
-/// `whole` with some places overwritten, removed or doubled.
+/// Generates `whole` with bytes overwritten or removed, truncated, or with its tail repeated.
 fn damaged(whole: &'static str) -> impl Strategy<Value = Vec<u8>> {
     let damage = (any::<prop::sample::Index>(), any::<u8>(), 0..4_u8);
     vec(damage, 0..6).prop_map(move |damages| {
@@ -112,7 +112,7 @@
     check(&path, |bytes| {
         let text = String::from_utf8_lossy(&bytes);
         if let Ok(path) = split_path(&text) {
-            // The path of a bare service is a slash.
+            // A path with only a service name becomes a slash.
             prop_assert!(path.plain.len() <= text.len().max(1));
             prop_assert!(path.raw == "/" || text.ends_with(path.raw));
         }
@@ -240,13 +240,13 @@
     );
 }
 
-/// Frames between instances: damaged ones are errors, whatever they claim to hold.
+/// Checks that decoding arbitrary frames of `T` does not panic or trust a stated length.
 fn frames<T: DeserializeOwned>() {
     check(&bytes(), |bytes| {
         let _ = postcard::from_bytes::<T>(&bytes);
         Ok(())
     });
-    // A list of four thousand million items in five bytes.
+    // A list with a stated length of four billion items in five bytes.
     assert!(postcard::from_bytes::<Vec<T>>(&[0xff, 0xff, 0xff, 0xff, 0x0f]).is_err());
 }
 
