--- a/cornelstand/tests/entry/answers.rs
+++ b/cornelstand/tests/entry/answers.rs
@@ -1,4 +1,4 @@
-//! Whole answers, cut answers and refusals.
+//! Complete answers, truncated answers and refusals.
 
 use std::sync::Arc;
 use std::time::Duration;
