--- a/cornelstand/tests/entry/attempts.rs
+++ b/cornelstand/tests/entry/attempts.rs
@@ -1,4 +1,4 @@
-//! The state machine of attempts and the retry budgets, against a plain model.
+//! The state machine of attempts and the retry budgets, checked against a simple model.
 
 use std::cell::Cell;
 
@@ -13,7 +13,7 @@
 use crate::fleet::refusing;
 use crate::parsers::run;
 
-/// What the world does to one attempt.
+/// Simulated result of one attempt.
 #[derive(Clone, Copy, Debug)]
 enum Event {
     Refused,
@@ -23,15 +23,15 @@
     Answered,
 }
 
-/// What is true of a request: the runs that an endpoint may have made of it, and whether any of
-/// them has an unknown fate.
+/// Expected state of a request: how often an endpoint may have executed it, and whether any of
+/// these executions has an unknown outcome.
 #[derive(Debug, Default)]
 struct Truth {
     runs: u32,
     unknown: bool,
 }
 
-/// Drives a request through `events` and returns its end, `None` if it was answered.
+/// Applies `events` to a request and returns its outcome, `None` if it was answered.
 fn drive(
     events: &[Event],
     repeat: Repeat,
