--- a/cornelstand/tests/entry/connections.rs
+++ b/cornelstand/tests/entry/connections.rs
@@ -1,4 +1,4 @@
-//! Connections of callers: half-open, too many, and with broken or oversized requests.
+//! Caller connections: half-open, too many, and with malformed or oversized requests.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -11,7 +11,7 @@
 
 use crate::fleet::{Fleet, KEY, echo, problem};
 
-/// Far longer than any deadline that the tests set.
+/// Far longer than any timeout set by the tests.
 const LONG: Duration = Duration::from_secs(30);
 
 fn limits() -> EntryLimits {
@@ -26,7 +26,7 @@
     }
 }
 
-/// Sends `request` and returns everything until the connection is closed.
+/// Sends `request` and returns everything received until the connection is closed.
 async fn exchange(address: SocketAddr, request: &[u8]) -> String {
     let mut stream = TcpStream::connect(address).await.unwrap();
     stream.write_all(request).await.unwrap();
@@ -161,7 +161,7 @@
     assert_eq!(fleet.endings(), [cornelstand::Ending::Cancelled]);
 }
 
-/// An endpoint with an answer of so many bytes.
+/// Starts an endpoint whose answer has `bytes` bytes.
 async fn long_answer(bytes: usize) -> SocketAddr {
     use warp::Filter;
     crate::fleet::endpoint(warp::body::bytes().map(move |_| vec![b'z'; bytes])).await
