--- a/cornelstand/tests/entry/fleet.rs
+++ b/cornelstand/tests/entry/fleet.rs
@@ -1,4 +1,4 @@
-//! One entry before endpoints in the same process, with a dispatcher that grants at once.
+//! Test fixture: one entry with in-process endpoints and a dispatcher that grants immediately.
 
 use std::collections::BTreeMap;
 use std::net::{IpAddr, Ipv4Addr, SocketAddr};
@@ -24,7 +24,7 @@
 use tokio::task::JoinHandle;
 use warp::Filter;
 
-/// An address that nothing listens at.
+/// An address without a listener.
 pub(crate) const UNREACHABLE: SocketAddr = SocketAddr::new(IpAddr::V4(Ipv4Addr::LOCALHOST), 1);
 pub(crate) const OTHER_KEY: &str = "ndege-desk-key";
 pub(crate) const KEY: &str = "tessel-counter-key";
@@ -84,7 +84,7 @@
     config
 }
 
-/// Grants the first endpoint of the service, one that the offer avoids only if there is no other.
+/// Grants the first endpoint of the cell, an avoided one only if there is no other.
 pub(crate) fn grant(config: &Config, offer: Offer) -> Reply {
     let endpoint = config
         .cell_endpoints(&offer.cell)
@@ -101,7 +101,7 @@
     })
 }
 
-/// Claims in the object API at `store`, or in memory.
+/// Claims stored in the object API at `store`, or in one that is unreachable.
 pub(crate) fn claims(store: Option<SocketAddr>) -> ClaimBook {
     let limits = ClaimLimits {
         shards: 1,
@@ -114,7 +114,7 @@
     ClaimBook::start(&store.into(), Clock::start(), limits)
 }
 
-/// Entries that hear of suspect requests at once.
+/// Entries that are notified of suspect requests immediately.
 pub(crate) type Peers = Arc<Mutex<Vec<Entry>>>;
 
 fn spread(peers: Peers) -> SpreadCall {
@@ -126,7 +126,7 @@
     })
 }
 
-/// An entry that serves until it is dropped.
+/// A serving entry and what the test can observe of it.
 pub(crate) struct Fleet {
     pub(crate) entry: Entry,
     pub(crate) address: SocketAddr,
@@ -142,7 +142,7 @@
         Self::on_store(endpoints, limits, None).await
     }
 
-    /// An entry with its claims in the object API at `store`, or in one of its own.
+    /// Starts an entry with its claims in the object API at `store`, if given.
     pub(crate) async fn on_store(
         endpoints: &[SocketAddr],
         limits: EntryLimits,
@@ -206,7 +206,7 @@
         }
     }
 
-    /// Asks the entry to stop and returns what ends when it has.
+    /// Signals the entry to stop and returns its task.
     pub(crate) fn stop(self) -> JoinHandle<()> {
         self.stop.send(()).unwrap();
         self.served
@@ -224,7 +224,7 @@
         Client::new().post(self.url(path)).bearer_auth(KEY)
     }
 
-    /// Waits until the entry runs nothing.
+    /// Waits until the entry has no open requests.
     pub(crate) async fn idle(&self) {
         while self.entry.running() > 0 {
             tokio::time::sleep(Duration::from_millis(2)).await;
@@ -253,7 +253,6 @@
     address
 }
 
-/// An address that refuses connections.
 /// An address that refuses connections. Its port stays bound, so that no other test gets it.
 pub(crate) fn refusing() -> SocketAddr {
     let socket = TcpSocket::new_v4().unwrap();
@@ -277,7 +276,7 @@
     .await
 }
 
-/// The platform's object API.
+/// Starts a stand-in for the platform's object API.
 pub(crate) fn store() -> ObjectApi {
     ObjectApi::start(ObjectSettings::default()).unwrap()
 }
@@ -295,13 +294,13 @@
     (status, problem)
 }
 
-/// An endpoint that answers every connection with the same bytes and closes it.
+/// Starts an endpoint that answers every connection with the same bytes and closes it.
 pub(crate) async fn raw(answer: &'static str) -> SocketAddr {
     script(vec![answer]).await
 }
 
-/// An endpoint that answers connection after connection with the next of `answers`, all from the
-/// last one on with that, and closes them.
+/// Starts an endpoint that answers each connection with the next of `answers`, repeating the last
+/// one, and closes it.
 pub(crate) async fn script(answers: Vec<&'static str>) -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let address = listener.local_addr().unwrap();
