--- a/cornelstand/tests/entry/main.rs
+++ b/cornelstand/tests/entry/main.rs
@@ -1,4 +1,4 @@
-//! An entry between HTTP callers and small endpoints in the same process.
+//! Tests of an entry between HTTP callers and in-process endpoints.
 
 mod answers;
 mod attempts;
