--- a/cornelstand/tests/entry/parsers.rs
+++ b/cornelstand/tests/entry/parsers.rs
@@ -1,4 +1,4 @@
-//! Decoders of what callers and endpoints send, on arbitrary bytes.
+//! Parsers of input from callers and endpoints, on valid and arbitrary bytes.
 
 use std::time::Duration;
 
