--- a/cornelstand/tests/entry/streams.rs
+++ b/cornelstand/tests/entry/streams.rs
@@ -1,4 +1,4 @@
-//! Streams of model engines.
+//! Streamed answers of model engines.
 
 use std::time::Duration;
 
