--- a/cornelstand/tests/entry/suspects.rs
+++ b/cornelstand/tests/entry/suspects.rs
@@ -1,4 +1,4 @@
-//! Requests that crash endpoints: what instances hold against them, alone and together.
+//! Requests suspected of crashing endpoints, on one instance and shared between instances.
 
 use std::time::Duration;
 
@@ -94,16 +94,16 @@
     );
 }
 
-/// One step of instances that all have the same poisonous request.
+/// One simulated step of instances that all received the same crashing request.
 #[derive(Clone, Copy, Debug)]
 enum Step {
-    /// The instance asks for a trial, if the request is suspect.
+    /// The instance requests a trial, if the request is suspect.
     Want(usize),
-    /// The instance and a peer exchange what they know.
+    /// The instance and a peer exchange their suspicions.
     Exchange(usize, usize),
-    /// The instance, which has exchanged with all, begins its trial if it may.
+    /// The instance begins its trial if it is allowed to and has exchanged with all peers.
     Begin(usize),
-    /// The running trial of the instance loses its endpoint.
+    /// The running trial of the instance crashes its endpoint.
     Lose(usize),
 }
 
@@ -125,7 +125,7 @@
     suspects: Suspects,
     wants: bool,
     runs: bool,
-    /// Peers that it has exchanged with since it wanted a trial.
+    /// Peers that it has exchanged with since it requested a trial.
     met: [bool; INSTANCES],
 }
 
@@ -135,7 +135,7 @@
 }
 
 impl Fleet {
-    /// All instances know of the first crash.
+    /// Creates instances that all know of the first crash.
     fn new() -> Self {
         let mut instances: Vec<Instance> = Vec::new();
         instances.resize_with(INSTANCES, Instance::default);
