--- a/cornelstand/tests/path.rs
+++ b/cornelstand/tests/path.rs
@@ -1,5 +1,5 @@
-//! The whole path over real connections: three instances, their platform, an engine and a plain
-//! service.
+//! End-to-end test over real connections: three instances, their platform, a model engine and a
+//! plain service.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -13,7 +13,7 @@
 
 const OPERATOR: &str = "operators-key";
 const ACCOUNT: &str = "kiosk-key";
-/// Bound on a test that hangs; nothing here depends on how long a step takes.
+/// Timeout for hanging tests; no assertion depends on how long a step takes.
 const GIVE_UP: Duration = Duration::from_mins(1);
 
 struct Fleet {
@@ -122,7 +122,7 @@
         request.send().await.expect("an answer")
     }
 
-    /// Sends a call again until its answer is recorded.
+    /// Repeats an order until its answer is recorded.
     async fn order_again(&self, instance: usize, key: &str) -> reqwest::Response {
         let recorded = async {
             loop {
