--- a/cornelstand/src/attempt.rs
+++ b/cornelstand/src/attempt.rs
@@ -78,7 +78,7 @@
     }
 
     /// Combines two losses: once one attempt's outcome is unknown, the request's is.
-    fn and(self, earlier: Option<Self>) -> Self {
+    fn combine(self, earlier: Option<Self>) -> Self {
         match earlier {
             Some(e) if self == Self::Failed => e,
             _ => self,
@@ -249,7 +249,7 @@
     /// Records that the attempt was lost.
     #[must_use]
     pub fn lost(self, loss: Loss) -> Lost {
-        let earlier = loss.and(self.earlier);
+        let earlier = loss.combine(self.earlier);
         Lost {
             id: self.id,
             earlier,
