--- a/cornelstand/src/listener.rs
+++ b/cornelstand/src/listener.rs
@@ -24,7 +24,7 @@
 use warp::reply::Response;
 
 /// Pause after a failed accept.
-const ACCEPT_PAUSE: Duration = Duration::from_millis(100);
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(100);
 /// Maximum bytes per read from a connection.
 const READ_BYTES: usize = 16 * 1024;
 /// Maximum number of headers of a request.
@@ -52,13 +52,13 @@
     H: Fn(http::Request<Incoming>) -> F + Clone + Send + Sync + 'static,
     F: Future<Output = Response> + Send + 'static,
 {
-    let room = Arc::new(Semaphore::new(limits.count));
+    let slots = Arc::new(Semaphore::new(limits.count));
     let (stop, stopped) = watch::channel(false);
     let tasks = TaskTracker::new();
     let mut shutdown = std::pin::pin!(shutdown);
     loop {
         let next = async {
-            let permit = room.clone().acquire_owned().await;
+            let permit = slots.clone().acquire_owned().await;
             (accept(&listener).await, permit)
         };
         let (stream, permit) = tokio::select! {
@@ -84,7 +84,7 @@
     loop {
         match listener.accept().await {
             Ok((stream, _)) => return stream,
-            Err(_) => tokio::time::sleep(ACCEPT_PAUSE).await,
+            Err(_) => tokio::time::sleep(ACCEPT_RETRY_DELAY).await,
         }
     }
 }
@@ -109,7 +109,7 @@
             .header_read_timeout(limits.header)
             .max_headers(MAX_HEADERS)
             .max_header_size(limits.bytes)
-            .serve_connection(Io(stream), service)
+            .serve_connection(TokioIo(stream), service)
     );
     let stopping = stopped.wait_for(|&stop| stop);
     tokio::select! {
@@ -121,24 +121,24 @@
 
 /// Adapts Tokio's TCP stream to hyper's I/O traits.
 #[derive(Debug)]
-struct Io(TcpStream);
+struct TokioIo(TcpStream);
 
-impl Read for Io {
+impl Read for TokioIo {
     fn poll_read(
         mut self: Pin<&mut Self>,
         cx: &mut Context<'_>,
         mut cursor: ReadBufCursor<'_>,
     ) -> Poll<std::io::Result<()>> {
         let mut bytes = [0; READ_BYTES];
-        let most = cursor.remaining().min(READ_BYTES);
-        let mut buffer = ReadBuf::new(&mut bytes[..most]);
+        let max = cursor.remaining().min(READ_BYTES);
+        let mut buffer = ReadBuf::new(&mut bytes[..max]);
         ready!(Pin::new(&mut self.0).poll_read(cx, &mut buffer))?;
         cursor.put_slice(buffer.filled());
         Poll::Ready(Ok(()))
     }
 }
 
-impl Write for Io {
+impl Write for TokioIo {
     fn poll_write(
         mut self: Pin<&mut Self>,
         cx: &mut Context<'_>,
