--- a/cornelstand/src/path.rs
+++ b/cornelstand/src/path.rs
@@ -41,7 +41,7 @@
     let slash = rest.find('/').unwrap_or(rest.len());
     let (service, raw) = rest.split_at(slash);
     let raw = if raw.is_empty() { "/" } else { raw };
-    let plain = plain(raw)?;
+    let plain = normalize(raw)?;
     Ok(CallPath {
         service,
         raw,
@@ -49,8 +49,8 @@
     })
 }
 
-fn plain(raw: &str) -> Result<String, PathError> {
-    let decoded = decoded(raw.as_bytes())?;
+fn normalize(raw: &str) -> Result<String, PathError> {
+    let decoded = percent_decode(raw.as_bytes())?;
     let mut plain = String::with_capacity(decoded.len());
     let mut segments = decoded.split('/').peekable();
     while let Some(segment) = segments.next() {
@@ -64,31 +64,31 @@
     Ok(plain)
 }
 
-fn decoded(raw: &[u8]) -> Result<String, PathError> {
+fn percent_decode(raw: &[u8]) -> Result<String, PathError> {
     let mut bytes = Vec::with_capacity(raw.len());
-    let mut at = 0;
-    while at < raw.len() {
-        let (byte, next) = match raw[at] {
-            b'%' => (encoded(raw, at)?, at + 3),
-            byte => (byte, at + 1),
+    let mut index = 0;
+    while index < raw.len() {
+        let (byte, next) = match raw[index] {
+            b'%' => (decode_escape(raw, index)?, index + 3),
+            byte => (byte, index + 1),
         };
-        let slash = byte == b'/' && raw[at] == b'%';
-        let odd = slash || byte == b'\\' || byte.is_ascii_control();
-        ensure!(!odd, AmbiguousSnafu);
+        let is_escaped_slash = byte == b'/' && raw[index] == b'%';
+        let is_ambiguous = is_escaped_slash || byte == b'\\' || byte.is_ascii_control();
+        ensure!(!is_ambiguous, AmbiguousSnafu);
         bytes.push(byte);
-        at = next;
+        index = next;
     }
     Ok(String::from_utf8_lossy(&bytes).into_owned())
 }
 
-fn encoded(raw: &[u8], at: usize) -> Result<u8, PathError> {
+fn decode_escape(raw: &[u8], index: usize) -> Result<u8, PathError> {
     let digit = |place: usize| {
         let byte = raw.get(place).copied().unwrap_or_default();
         char::from(byte)
             .to_digit(16)
             .and_then(|d| u8::try_from(d).ok())
     };
-    match (digit(at + 1), digit(at + 2)) {
+    match (digit(index + 1), digit(index + 2)) {
         (Some(high), Some(low)) => Ok(high << 4 | low),
         _ => EncodingSnafu.fail(),
     }
