--- a/cornelstand/src/sse.rs
+++ b/cornelstand/src/sse.rs
@@ -25,8 +25,8 @@
 /// Scanner of one event stream.
 #[derive(Debug, Default)]
 pub struct Scanner {
-    held: BytesMut,
-    searched: usize,
+    buffer: BytesMut,
+    scanned: usize,
     chunks: u64,
     tokens: Option<u64>,
     done: bool,
@@ -53,26 +53,26 @@
     /// [`SseError`] if the stream violates the protocol. The scanner must not be used afterwards.
     pub fn push(&mut self, bytes: &[u8]) -> Result<Bytes, SseError> {
         ensure!(!self.done || is_blank(bytes), AfterEndSnafu);
-        self.held.extend_from_slice(bytes);
+        self.buffer.extend_from_slice(bytes);
         let mut end = 0;
-        while let Some(next) = event_end(&self.held, end.max(self.searched), end) {
-            let event = self.held[end..next].to_vec();
-            self.event(&event);
+        while let Some(next) = event_end(&self.buffer, end.max(self.scanned), end) {
+            let event = self.buffer[end..next].to_vec();
+            self.process_event(&event);
             end = next;
-            self.searched = next;
+            self.scanned = next;
         }
-        let whole = self.held.split_to(end).freeze();
-        self.searched = self.held.len().saturating_sub(BLANK_LINE_BYTES);
-        ensure!(self.held.len() <= EVENT_BYTES, EventTooLargeSnafu);
-        let clean = !self.done || is_blank(&self.held);
+        let whole = self.buffer.split_to(end).freeze();
+        self.scanned = self.buffer.len().saturating_sub(MAX_TERMINATOR_BYTES);
+        ensure!(self.buffer.len() <= EVENT_BYTES, EventTooLargeSnafu);
+        let clean = !self.done || is_blank(&self.buffer);
         ensure!(clean, AfterEndSnafu);
         Ok(whole)
     }
 
     /// Discards an incomplete event before the stream is resumed.
     pub fn rewind(&mut self) {
-        self.held.clear();
-        self.searched = 0;
+        self.buffer.clear();
+        self.scanned = 0;
     }
 
     /// Returns the number of data events so far, without the one that ends the stream.
@@ -93,8 +93,8 @@
         self.done
     }
 
-    fn event(&mut self, event: &[u8]) {
-        let Some(data) = data(event) else {
+    fn process_event(&mut self, event: &[u8]) {
+        let Some(data) = data_line(event) else {
             return;
         };
         if data == b"[DONE]" {
@@ -110,22 +110,22 @@
 
 /// Returns the prompt plus completion tokens that a chunk or whole answer reports.
 pub(crate) fn usage(json: &[u8]) -> Option<u64> {
-    if !json.windows(NEEDLE.len()).any(|w| w == NEEDLE) {
+    if !json.windows(USAGE_KEY.len()).any(|w| w == USAGE_KEY) {
         return None;
     }
     let usage = serde_json::from_slice::<Chunk>(json).ok()?.usage?;
     Some(usage.prompt_tokens.saturating_add(usage.completion_tokens))
 }
 
-const NEEDLE: &[u8] = b"\"usage\"";
+const USAGE_KEY: &[u8] = b"\"usage\"";
 /// Longest terminator of an event: a line ending and a blank line.
-const BLANK_LINE_BYTES: usize = 4;
+const MAX_TERMINATOR_BYTES: usize = 4;
 
 /// Returns the end of the event that starts at `start`, searching from `from` on.
-fn event_end(held: &[u8], from: usize, start: usize) -> Option<usize> {
+fn event_end(buffer: &[u8], from: usize, start: usize) -> Option<usize> {
     let from = from.max(start);
-    (from..held.len()).find_map(|at| {
-        let rest = &held[at..];
+    (from..buffer.len()).find_map(|at| {
+        let rest = &buffer[at..];
         [&b"\n\n"[..], b"\n\r\n", b"\r\r"]
             .iter()
             .find(|end| rest.starts_with(end))
@@ -134,7 +134,7 @@
 }
 
 /// Returns the first data line of an event.
-fn data(event: &[u8]) -> Option<&[u8]> {
+fn data_line(event: &[u8]) -> Option<&[u8]> {
     event
         .split(|b| matches!(b, b'\n' | b'\r'))
         .find_map(|line| line.strip_prefix(b"data:"))
