--- a/cornelstand/tests/entry/attempts.rs
+++ b/cornelstand/tests/entry/attempts.rs
@@ -26,7 +26,7 @@
 /// Expected state of a request: how often an endpoint may have executed it, and whether any of
 /// these executions has an unknown outcome.
 #[derive(Debug, Default)]
-struct Truth {
+struct Expected {
     runs: u32,
     unknown: bool,
 }
@@ -36,7 +36,7 @@
     events: &[Event],
     repeat: Repeat,
     proof: &ConnectError,
-    truth: &mut Truth,
+    expected: &mut Expected,
 ) -> Option<Outcome> {
     let (account, service) = (AccountName::from("a"), ServiceName::from("s"));
     let mut budgets = RetryBudgets::default();
@@ -53,13 +53,13 @@
             Event::Withdrawn => ready.next(),
             Event::Unconnected => ready.send().unconnected(proof),
             Event::Answered => {
-                truth.runs += 1;
+                expected.runs += 1;
                 let _ = ready.send().sent().answering();
                 return None;
             }
             Event::Lost(loss) => {
-                truth.runs += 1;
-                truth.unknown |= !loss.is_failed();
+                expected.runs += 1;
+                expected.unknown |= !loss.is_failed();
                 let attempt = ready.send().sent().lost(*loss);
                 match budgets.spend(repeat, &account, &service) {
                     Some(permit) => attempt.retry(permit),
@@ -102,14 +102,14 @@
         } else {
             Repeat::Idempotent
         };
-        let mut truth = Truth::default();
-        let outcome = drive(&events, repeat, &proof, &mut truth);
-        prop_assert!(!once || truth.runs <= 1, "{truth:?}");
+        let mut expected = Expected::default();
+        let outcome = drive(&events, repeat, &proof, &mut expected);
+        prop_assert!(!once || expected.runs <= 1, "{expected:?}");
         match outcome {
-            Some(Outcome::NotRun) => prop_assert_eq!(truth.runs, 0),
-            Some(Outcome::Unknown) => prop_assert!(truth.unknown),
-            Some(Outcome::Failed) => prop_assert!(truth.runs > 0 && !truth.unknown),
-            None => prop_assert!(truth.runs > 0),
+            Some(Outcome::NotRun) => prop_assert_eq!(expected.runs, 0),
+            Some(Outcome::Unknown) => prop_assert!(expected.unknown),
+            Some(Outcome::Failed) => prop_assert!(expected.runs > 0 && !expected.unknown),
+            None => prop_assert!(expected.runs > 0),
         }
         if let Some(outcome) = outcome {
             let mut counts = seen.get();
