--- a/cornelstand/tests/entry/connections.rs
+++ b/cornelstand/tests/entry/connections.rs
@@ -12,7 +12,7 @@
 use crate::fleet::{Fleet, KEY, echo, problem};
 
 /// Far longer than any timeout set by the tests.
-const LONG: Duration = Duration::from_secs(30);
+const TEST_TIMEOUT: Duration = Duration::from_secs(30);
 
 fn limits() -> EntryLimits {
     EntryLimits {
@@ -31,7 +31,7 @@
     let mut stream = TcpStream::connect(address).await.unwrap();
     stream.write_all(request).await.unwrap();
     let mut answer = Vec::new();
-    let end = timeout(LONG, stream.read_to_end(&mut answer)).await;
+    let end = timeout(TEST_TIMEOUT, stream.read_to_end(&mut answer)).await;
     let _ = end.expect("the connection is closed in time");
     String::from_utf8(answer).unwrap()
 }
@@ -55,7 +55,7 @@
     for _ in 0..6 {
         silent.push(TcpStream::connect(fleet.address).await.unwrap());
     }
-    let answer = timeout(LONG, fleet.get("/app/stock").send()).await;
+    let answer = timeout(TEST_TIMEOUT, fleet.get("/app/stock").send()).await;
     assert_eq!(answer.unwrap().unwrap().status(), 200);
 }
 
@@ -157,7 +157,7 @@
     stream.write_all(request.as_bytes()).await.unwrap();
     let mut first = [0; 16];
     stream.read_exact(&mut first).await.unwrap();
-    timeout(LONG, fleet.idle()).await.unwrap();
+    timeout(TEST_TIMEOUT, fleet.idle()).await.unwrap();
     assert_eq!(fleet.endings(), [cornelstand::Ending::Cancelled]);
 }
 
@@ -229,7 +229,7 @@
         bytes += piece.len();
     }
     assert_eq!(bytes, 1 << 20);
-    timeout(LONG, served).await.unwrap().unwrap();
+    timeout(TEST_TIMEOUT, served).await.unwrap().unwrap();
     TcpStream::connect(address).await.unwrap_err();
     drop(idle);
 }
