--- a/cornelstand/tests/entry/streams.rs
+++ b/cornelstand/tests/entry/streams.rs
@@ -157,7 +157,7 @@
     let engines: Vec<Engine> = (0..4).map(|_| engine()).collect();
     let addresses: Vec<_> = engines.iter().map(Engine::address).collect();
     let fleet = Fleet::start(&addresses, EntryLimits::default()).await;
-    let beside = (0..8).map(|i| {
+    let others = (0..8).map(|i| {
         let (fleet, prompt) = (&fleet, format!("zip {i}"));
         async move {
             loop {
@@ -178,7 +178,7 @@
             let _ = answer.text().await;
         }
     };
-    futures::join!(futures::future::join_all(beside), poison);
+    futures::join!(futures::future::join_all(others), poison);
     let crashes: u64 = engines.iter().map(|e| e.counts().crashes).sum();
     assert_eq!(crashes, 2);
 }
