--- a/cornelstand/tests/entry/suspects.rs
+++ b/cornelstand/tests/entry/suspects.rs
@@ -104,7 +104,7 @@
     /// The instance begins its trial if it is allowed to and has exchanged with all peers.
     Begin(usize),
     /// The running trial of the instance crashes its endpoint.
-    Lose(usize),
+    Crash(usize),
 }
 
 const INSTANCES: usize = 4;
@@ -116,22 +116,22 @@
         (one(), one()).prop_map(|(a, b)| Step::Exchange(a, b)),
         (one(), one()).prop_map(|(a, b)| Step::Exchange(a, b)),
         one().prop_map(Step::Begin),
-        one().prop_map(Step::Lose),
+        one().prop_map(Step::Crash),
     ]
 }
 
 #[derive(Default)]
 struct Instance {
     suspects: Suspects,
-    wants: bool,
-    runs: bool,
+    is_waiting: bool,
+    is_running: bool,
     /// Peers that it has exchanged with since it requested a trial.
-    met: [bool; INSTANCES],
+    exchanged: [bool; INSTANCES],
 }
 
 struct Fleet {
     instances: Vec<Instance>,
-    lost: usize,
+    crashes: usize,
 }
 
 impl Fleet {
@@ -142,7 +142,10 @@
         for instance in &mut instances {
             instance.suspects.note(at(0), REQUEST, crash("first"));
         }
-        Self { instances, lost: 1 }
+        Self {
+            instances,
+            crashes: 1,
+        }
     }
 
     fn step(&mut self, step: Step) {
@@ -150,9 +153,12 @@
             Step::Want(i) => {
                 let instance = &mut self.instances[i];
                 let suspect = instance.suspects.check(at(0), REQUEST).is_suspect();
-                if suspect && !instance.runs && instance.suspects.want(at(0), REQUEST, &name(i)) {
-                    instance.wants = true;
-                    instance.met = [false; INSTANCES];
+                if suspect
+                    && !instance.is_running
+                    && instance.suspects.want(at(0), REQUEST, &name(i))
+                {
+                    instance.is_waiting = true;
+                    instance.exchanged = [false; INSTANCES];
                 }
             }
             Step::Exchange(a, b) if a != b => {
@@ -160,16 +166,16 @@
                 self.instances[b].suspects.merge(at(0), told.unwrap());
                 let view = self.instances[b].suspects.suspicion(at(0), REQUEST);
                 self.instances[a].suspects.merge(at(0), view.unwrap());
-                self.instances[a].met[b] = true;
+                self.instances[a].exchanged[b] = true;
             }
             Step::Exchange(..) => {}
             Step::Begin(i) => self.begin(i),
-            Step::Lose(i) => {
-                let lost = format!("lost-{}", self.lost);
+            Step::Crash(i) => {
+                let endpoint = format!("lost-{}", self.crashes);
                 let instance = &mut self.instances[i];
-                if std::mem::take(&mut instance.runs) {
-                    self.lost += 1;
-                    instance.suspects.note(at(0), REQUEST, crash(&lost));
+                if std::mem::take(&mut instance.is_running) {
+                    self.crashes += 1;
+                    instance.suspects.note(at(0), REQUEST, crash(&endpoint));
                     let ended = TrialPhase::Ended;
                     instance.suspects.set_phase(at(0), REQUEST, &name(i), ended);
                 }
@@ -179,11 +185,11 @@
 
     fn begin(&mut self, i: usize) {
         let instance = &mut self.instances[i];
-        let met_all = (0..INSTANCES).all(|peer| peer == i || instance.met[peer]);
-        if !instance.wants || !met_all {
+        let has_exchanged = (0..INSTANCES).all(|peer| peer == i || instance.exchanged[peer]);
+        if !instance.is_waiting || !has_exchanged {
             return;
         }
-        instance.wants = false;
+        instance.is_waiting = false;
         let is_suspect = instance.suspects.check(at(0), REQUEST).is_suspect();
         let begins = is_suspect && instance.suspects.may_begin(at(0), REQUEST, &name(i));
         let phase = if begins {
@@ -191,7 +197,7 @@
         } else {
             TrialPhase::Ended
         };
-        instance.runs = begins;
+        instance.is_running = begins;
         instance.suspects.set_phase(at(0), REQUEST, &name(i), phase);
     }
 }
@@ -202,7 +208,7 @@
         let mut fleet = Fleet::new();
         for step in steps {
             fleet.step(step);
-            prop_assert!(fleet.lost <= MAX_CRASHES);
+            prop_assert!(fleet.crashes <= MAX_CRASHES);
         }
         Ok(())
     });
@@ -223,16 +229,16 @@
             .iter()
             .filter_map(|p| p.suspicion(at(1), REQUEST))
             .collect();
-        let (mut forth, mut back) = (Suspects::default(), Suspects::default());
+        let (mut forward, mut reverse) = (Suspects::default(), Suspects::default());
         for s in &told {
-            forth.merge(at(1), s.clone());
+            forward.merge(at(1), s.clone());
         }
         for s in told.iter().rev() {
-            back.merge(at(1), s.clone());
+            reverse.merge(at(1), s.clone());
         }
         prop_assert_eq!(
-            forth.suspicion(at(1), REQUEST),
-            back.suspicion(at(1), REQUEST)
+            forward.suspicion(at(1), REQUEST),
+            reverse.suspicion(at(1), REQUEST)
         );
         Ok(())
     });
