--- a/cornelstand/tests/path.rs
+++ b/cornelstand/tests/path.rs
@@ -14,7 +14,7 @@
 const OPERATOR: &str = "operators-key";
 const ACCOUNT: &str = "kiosk-key";
 /// Timeout for hanging tests; no assertion depends on how long a step takes.
-const GIVE_UP: Duration = Duration::from_mins(1);
+const TEST_TIMEOUT: Duration = Duration::from_mins(1);
 
 struct Fleet {
     objects: ObjectApi,
@@ -65,7 +65,7 @@
             instances,
             http: reqwest::Client::builder()
                 .no_proxy()
-                .timeout(GIVE_UP)
+                .timeout(TEST_TIMEOUT)
                 .build()
                 .expect("a client"),
         };
@@ -99,7 +99,7 @@
         let answer = answer.body(note.to_string()).send().await.expect("answer");
         assert_eq!(answer.status(), 200, "{:?}", answer.text().await);
         for instance in &self.instances {
-            tokio::time::timeout(GIVE_UP, instance.ready())
+            tokio::time::timeout(TEST_TIMEOUT, instance.ready())
                 .await
                 .expect("the note is in force on every instance");
         }
@@ -133,7 +133,7 @@
                 tokio::time::sleep(Duration::from_millis(20)).await;
             }
         };
-        tokio::time::timeout(GIVE_UP, recorded)
+        tokio::time::timeout(TEST_TIMEOUT, recorded)
             .await
             .expect("the answer is recorded")
     }
