--- a/cornelstand/tests/decoders.rs
+++ b/cornelstand/tests/decoders.rs
@@ -65,7 +65,7 @@
     })
 }
 
-const KEYED: &str = "order-17";
+const IDEMPOTENCY_KEY: &str = "order-17";
 
 fn headers(name: &HeaderName, values: &[Vec<u8>]) -> HeaderMap {
     let mut headers = HeaderMap::new();
@@ -83,7 +83,11 @@
 #[case("x-deadline-ms")]
 fn wishes(#[case] name: &'static str) {
     let name = HeaderName::from_static(name);
-    let value = prop_oneof![bytes(), damaged(KEYED), damaged("18446744073709551615")];
+    let value = prop_oneof![
+        bytes(),
+        damaged(IDEMPOTENCY_KEY),
+        damaged("18446744073709551615")
+    ];
     check(&vec(value, 0..3), |values| {
         if let Ok(wishes) = Wishes::parse(&headers(&name, &values)) {
             prop_assert!(wishes.key.is_none_or(|k| k.len() <= IDEMPOTENCY_KEY_BYTES));
