--- a/cornelstand/src/headers.rs
+++ b/cornelstand/src/headers.rs
@@ -40,33 +40,33 @@
 pub enum HeaderError {
     /// A single-valued header is given more than once.
     #[snafu(display("{name} is given more than once"))]
-    Twice {
+    Duplicate {
         /// The header.
         name: HeaderName,
     },
     /// A value has characters other than visible ASCII.
     #[snafu(display("{name} has characters other than visible ASCII"))]
-    Characters {
+    InvalidCharacters {
         /// The header.
         name: HeaderName,
     },
     /// A value is empty or too long.
-    #[snafu(display("{name} has {bytes} bytes, not 1 to {most}"))]
+    #[snafu(display("{name} has {bytes} bytes, not 1 to {max}"))]
     Length {
         /// The header.
         name: HeaderName,
         /// Length in bytes.
         bytes: usize,
         /// Maximum length in bytes.
-        most: usize,
+        max: usize,
     },
     /// A value is not a number within its range.
-    #[snafu(display("{name} is no whole number from 1 to {most}"))]
+    #[snafu(display("{name} is no whole number from 1 to {max}"))]
     Number {
         /// The header.
         name: HeaderName,
         /// Maximum value.
-        most: u64,
+        max: u64,
     },
     /// The authorization does not use the Bearer scheme.
     #[snafu(display("authorization is not of the form \"Bearer KEY\""))]
@@ -91,13 +91,13 @@
     ///
     /// A [`HeaderError`] that names the first invalid header.
     pub fn parse(headers: &HeaderMap) -> Result<Self, HeaderError> {
-        let key = single(headers, IDEMPOTENCY_KEY)?
-            .map(|v| visible(IDEMPOTENCY_KEY, v, IDEMPOTENCY_KEY_BYTES))
+        let key = single_value(headers, IDEMPOTENCY_KEY)?
+            .map(|v| visible_ascii(IDEMPOTENCY_KEY, v, IDEMPOTENCY_KEY_BYTES))
             .transpose()?
             .map(str::to_owned);
         let hint = number(headers, COST_HINT, MAX_HINT)?;
-        let most = u64::try_from(MAX_DEADLINE.as_millis()).unwrap_or(u64::MAX);
-        let deadline = number(headers, DEADLINE_MS, most)?.map(Duration::from_millis);
+        let max = u64::try_from(MAX_DEADLINE.as_millis()).unwrap_or(u64::MAX);
+        let deadline = number(headers, DEADLINE_MS, max)?.map(Duration::from_millis);
         Ok(Self {
             key,
             hint,
@@ -112,21 +112,21 @@
 ///
 /// A [`HeaderError`] if the authorization header is malformed.
 pub fn bearer_key(headers: &HeaderMap) -> Result<Option<&str>, HeaderError> {
-    let Some(value) = single(headers, AUTHORIZATION)? else {
+    let Some(value) = single_value(headers, AUTHORIZATION)? else {
         return Ok(None);
     };
     let text = value.to_str().ok().context(SchemeSnafu)?;
     let (scheme, key) = text.split_once(' ').context(SchemeSnafu)?;
     ensure!(scheme.eq_ignore_ascii_case("bearer"), SchemeSnafu);
-    checked(AUTHORIZATION, key.trim(), ACCOUNT_KEY_BYTES).map(Some)
+    check_value(AUTHORIZATION, key.trim(), ACCOUNT_KEY_BYTES).map(Some)
 }
 
 /// Returns the end-to-end headers of a request or answer.
 pub(crate) fn forwarded(headers: &HeaderMap) -> HeaderMap {
-    let named = connection_options(headers);
+    let connection_headers = connection_options(headers);
     headers
         .iter()
-        .filter(|(name, _)| !is_hop(name) && !named.contains(name))
+        .filter(|(name, _)| !is_hop_by_hop(name) && !connection_headers.contains(name))
         .map(|(name, value)| (name.clone(), value.clone()))
         .collect()
 }
@@ -161,7 +161,7 @@
         .collect()
 }
 
-fn is_hop(name: &HeaderName) -> bool {
+fn is_hop_by_hop(name: &HeaderName) -> bool {
     [
         CONNECTION,
         KEEP_ALIVE,
@@ -176,43 +176,43 @@
     .contains(name)
 }
 
-fn single(headers: &HeaderMap, name: HeaderName) -> Result<Option<&HeaderValue>, HeaderError> {
+fn single_value(
+    headers: &HeaderMap,
+    name: HeaderName,
+) -> Result<Option<&HeaderValue>, HeaderError> {
     let mut values = headers.get_all(&name).iter();
     let first = values.next();
-    ensure!(values.next().is_none(), TwiceSnafu { name });
+    ensure!(values.next().is_none(), DuplicateSnafu { name });
     Ok(first)
 }
 
-fn visible(name: HeaderName, value: &HeaderValue, most: usize) -> Result<&str, HeaderError> {
+fn visible_ascii(name: HeaderName, value: &HeaderValue, max: usize) -> Result<&str, HeaderError> {
     let text = value
         .to_str()
         .ok()
-        .context(CharactersSnafu { name: name.clone() })?;
-    checked(name, text, most)
+        .context(InvalidCharactersSnafu { name: name.clone() })?;
+    check_value(name, text, max)
 }
 
-fn checked(name: HeaderName, text: &str, most: usize) -> Result<&str, HeaderError> {
+fn check_value(name: HeaderName, text: &str, max: usize) -> Result<&str, HeaderError> {
     let bytes = text.len();
-    ensure!(
-        (1..=most).contains(&bytes),
-        LengthSnafu { name, bytes, most }
-    );
-    let all = text.bytes().all(|b| b.is_ascii_graphic());
-    ensure!(all, CharactersSnafu { name });
+    ensure!((1..=max).contains(&bytes), LengthSnafu { name, bytes, max });
+    let is_visible = text.bytes().all(|b| b.is_ascii_graphic());
+    ensure!(is_visible, InvalidCharactersSnafu { name });
     Ok(text)
 }
 
-fn number(headers: &HeaderMap, name: HeaderName, most: u64) -> Result<Option<u64>, HeaderError> {
-    let Some(value) = single(headers, name.clone())? else {
+fn number(headers: &HeaderMap, name: HeaderName, max: u64) -> Result<Option<u64>, HeaderError> {
+    let Some(value) = single_value(headers, name.clone())? else {
         return Ok(None);
     };
-    let digits = value.as_bytes().iter().all(u8::is_ascii_digit);
+    let is_numeric = value.as_bytes().iter().all(u8::is_ascii_digit);
     value
         .to_str()
         .ok()
-        .filter(|_| digits)
+        .filter(|_| is_numeric)
         .and_then(|text| text.parse().ok())
-        .filter(|number| (1..=most).contains(number))
-        .context(NumberSnafu { name, most })
+        .filter(|number| (1..=max).contains(number))
+        .context(NumberSnafu { name, max })
         .map(Some)
 }
--- a/cornelstand/tests/entry/parsers.rs
+++ b/cornelstand/tests/entry/parsers.rs
@@ -77,7 +77,10 @@
     let mut headers = header("idempotency-key", "gel-1");
     headers.append("idempotency-key", HeaderValue::from_static("gel-2"));
     let name = HeaderName::from_static("idempotency-key");
-    assert_eq!(Wishes::parse(&headers), Err(HeaderError::Twice { name }));
+    assert_eq!(
+        Wishes::parse(&headers),
+        Err(HeaderError::Duplicate { name })
+    );
 }
 
 #[test]
