--- a/cornelstand/src/body.rs
+++ b/cornelstand/src/body.rs
@@ -22,10 +22,10 @@
 #[snafu(visibility(pub(crate)))]
 pub(crate) enum BodyError {
     /// The body exceeds the size limit.
-    #[snafu(display("the body has more than {most} bytes"))]
+    #[snafu(display("the body has more than {max} bytes"))]
     TooLarge {
         /// Maximum size in bytes.
-        most: u64,
+        max: u64,
     },
     /// The connection broke, or the body is shorter than its content-length.
     #[snafu(display("the body broke off"))]
@@ -45,16 +45,16 @@
     /// Maximum number of bytes read ahead.
     pub(crate) replay: usize,
     /// Maximum size of the whole body.
-    pub(crate) most: u64,
+    pub(crate) max: u64,
 }
 
-type Rest = BoxStream<'static, Result<Bytes, BodyError>>;
+type FrameStream = BoxStream<'static, Result<Bytes, BodyError>>;
 
 /// A request's body.
 #[derive(Debug)]
 pub(crate) enum CallBody {
     /// Fully buffered; can be sent any number of times.
-    Whole(Bytes),
+    Buffered(Bytes),
     /// Larger than the replay buffer.
     Stream(StreamBody),
 }
@@ -62,7 +62,7 @@
 /// A body that is forwarded as it arrives.
 pub(crate) struct StreamBody {
     ahead: Bytes,
-    rest: Arc<Mutex<Option<Rest>>>,
+    rest: Arc<Mutex<Option<FrameStream>>>,
     progress: Arc<Progress>,
 }
 
@@ -70,7 +70,7 @@
 #[derive(Debug, Default)]
 struct Progress {
     /// The endpoint is waiting for the caller's next bytes.
-    awaits: AtomicBool,
+    waiting: AtomicBool,
     fault: OnceLock<BodyError>,
 }
 
@@ -87,17 +87,17 @@
         incoming: Incoming,
         limits: BodyLimits,
     ) -> Result<Self, BodyError> {
-        let most = limits.most;
-        let stated = stated_length(headers);
-        ensure!(stated.unwrap_or(0) <= most, TooLargeSnafu { most });
-        let mut rest: Rest = Box::pin(frames(incoming, limits));
+        let max = limits.max;
+        let content_length = stated_length(headers);
+        ensure!(content_length.unwrap_or(0) <= max, TooLargeSnafu { max });
+        let mut rest: FrameStream = Box::pin(frames(incoming, limits));
         let ahead = read_ahead(&mut rest, limits.replay);
         let (ahead, ended) = tokio::time::timeout(limits.ahead, ahead)
             .await
             .ok()
             .context(SlowSnafu)??;
         if ended {
-            return Ok(Self::Whole(ahead));
+            return Ok(Self::Buffered(ahead));
         }
         Ok(Self::Stream(StreamBody {
             ahead,
@@ -109,7 +109,7 @@
     /// Returns the part that was read ahead, which may be the whole body.
     pub(crate) fn ahead(&self) -> &[u8] {
         match self {
-            Self::Whole(bytes) => bytes,
+            Self::Buffered(bytes) => bytes,
             Self::Stream(s) => &s.ahead,
         }
     }
@@ -117,7 +117,7 @@
     /// Returns whether the body can still be sent.
     pub(crate) fn is_sendable(&self) -> bool {
         match self {
-            Self::Whole(_) => true,
+            Self::Buffered(_) => true,
             Self::Stream(s) => lock(&s.rest).is_some(),
         }
     }
@@ -130,16 +130,16 @@
     /// Returns the error in reading from the caller while the body was forwarded.
     pub(crate) fn fault(&self) -> Option<BodyError> {
         match self {
-            Self::Whole(_) => None,
+            Self::Buffered(_) => None,
             Self::Stream(s) => s.progress.fault.get().copied(),
         }
     }
 
     /// Returns whether the endpoint is waiting for the caller's next bytes.
-    pub(crate) fn is_awaited(&self) -> bool {
+    pub(crate) fn is_waiting_for_caller(&self) -> bool {
         match self {
-            Self::Whole(_) => false,
-            Self::Stream(s) => s.progress.awaits.load(Ordering::Relaxed),
+            Self::Buffered(_) => false,
+            Self::Stream(s) => s.progress.waiting.load(Ordering::Relaxed),
         }
     }
 
@@ -147,7 +147,7 @@
     /// polled, which happens after a connection is established.
     pub(crate) fn upload(&self) -> reqwest::Body {
         match self {
-            Self::Whole(bytes) => bytes.clone().into(),
+            Self::Buffered(bytes) => bytes.clone().into(),
             Self::Stream(s) => reqwest::Body::wrap_stream(s.upload()),
         }
     }
@@ -158,15 +158,15 @@
         let source = self.rest.clone();
         let progress = self.progress.clone();
         let ahead = Some(self.ahead.clone());
-        let state = (ahead, None::<Rest>, source, progress);
+        let state = (ahead, None::<FrameStream>, source, progress);
         futures::stream::unfold(state, |(ahead, rest, source, progress)| async move {
             let mut rest = rest.or_else(|| lock(&source).take())?;
             if let Some(ahead) = ahead {
                 return Some((Ok(ahead), (None, Some(rest), source, progress)));
             }
-            progress.awaits.store(true, Ordering::Relaxed);
+            progress.waiting.store(true, Ordering::Relaxed);
             let next = futures::StreamExt::next(&mut rest).await;
-            progress.awaits.store(false, Ordering::Relaxed);
+            progress.waiting.store(false, Ordering::Relaxed);
             let next = next?;
             if let Err(e) = &next {
                 let _ = progress.fault.set(*e);
@@ -181,14 +181,14 @@
     headers.get(CONTENT_LENGTH)?.to_str().ok()?.parse().ok()
 }
 
-fn lock(rest: &Mutex<Option<Rest>>) -> std::sync::MutexGuard<'_, Option<Rest>> {
+fn lock(rest: &Mutex<Option<FrameStream>>) -> std::sync::MutexGuard<'_, Option<FrameStream>> {
     rest.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
-/// Reads until the end or past `most` bytes, and returns whether the end was reached.
-async fn read_ahead(rest: &mut Rest, most: usize) -> Result<(Bytes, bool), BodyError> {
+/// Reads until the end or past `max` bytes, and returns whether the end was reached.
+async fn read_ahead(rest: &mut FrameStream, max: usize) -> Result<(Bytes, bool), BodyError> {
     let mut ahead = BytesMut::new();
-    while ahead.len() <= most {
+    while ahead.len() <= max {
         match futures::StreamExt::next(rest).await.transpose()? {
             Some(bytes) => ahead.extend_from_slice(&bytes),
             None => return Ok((ahead.freeze(), true)),
@@ -206,8 +206,8 @@
             return Ok(None);
         };
         let read = read + bytes.len() as u64;
-        let most = limits.most;
-        ensure!(read <= most, TooLargeSnafu { most });
+        let max = limits.max;
+        ensure!(read <= max, TooLargeSnafu { max });
         Ok(Some((bytes, (incoming, read))))
     })
 }
--- a/cornelstand/src/call.rs
+++ b/cornelstand/src/call.rs
@@ -359,7 +359,7 @@
 
     /// Returns the error in the caller's body that caused a loss.
     fn upload_fault(&self, loss: Loss) -> Option<BodyError> {
-        let is_slow = loss.is_silent() && self.body.is_awaited();
+        let is_slow = loss.is_silent() && self.body.is_waiting_for_caller();
         let slow = is_slow.then_some(BodyError::Slow);
         self.body.fault().or(slow)
     }
--- a/cornelstand/src/entry.rs
+++ b/cornelstand/src/entry.rs
@@ -107,7 +107,7 @@
             idle: self.idle(),
             ahead: Duration::from_millis(self.body_ms),
             replay: self.replay_bytes,
-            most: self.body_bytes,
+            max: self.body_bytes,
         }
     }
 }
--- a/cornelstand/src/head.rs
+++ b/cornelstand/src/head.rs
@@ -83,7 +83,7 @@
 
     /// Returns whether the answer is a stream that the engine can resume.
     fn is_resumable(&self) -> bool {
-        let CallBody::Whole(body) = &self.body else {
+        let CallBody::Buffered(body) = &self.body else {
             return false;
         };
         let form = serde_json::from_slice::<ChatForm>(body);
