--- a/cornelstand/src/call.rs
+++ b/cornelstand/src/call.rs
@@ -36,7 +36,7 @@
 use crate::relay::{Origin, Source, has_end, is_events};
 use crate::retry::RetryPermit;
 use crate::timeline::Topic;
-use crate::upstream::{Upcall, boot_of, is_foreign};
+use crate::upstream::{EndpointRequest, boot_of, is_foreign};
 
 /// Delay before the third attempt.
 const PAUSE: Duration = Duration::from_millis(50);
@@ -248,7 +248,7 @@
         address: SocketAddr,
         mut caller: Caller,
     ) -> Step {
-        let upcall = self.upcall(&ready, address);
+        let endpoint_request = self.endpoint_request(&ready, address);
         flight.sent(self.core.clock.now());
         let wait = self.first_wait(&flight);
         let origin = Origin {
@@ -258,7 +258,7 @@
         };
         let sending = ready.send();
         let reply = tokio::select! {
-            reply = self.head(upcall, &origin, wait) => reply,
+            reply = self.head(endpoint_request, &origin, wait) => reply,
             () = caller.gone(), if !self.is_claimed() => {
                 flight.cancel(address);
                 caller.leave();
@@ -455,7 +455,7 @@
         self.record(loss_event(loss), leg.flight.grant().endpoint.as_str());
     }
 
-    fn upcall(&self, ready: &Ready, address: SocketAddr) -> Upcall {
+    fn endpoint_request(&self, ready: &Ready, address: SocketAddr) -> EndpointRequest {
         let mut headers = self.headers.clone();
         if let (true, Some(length)) = (self.body.is_stream(), self.length) {
             headers.insert(CONTENT_LENGTH, HeaderValue::from(length));
@@ -463,7 +463,7 @@
         let left = self.deadline.since(self.core.clock.now());
         let millis = u64::try_from(left.as_millis()).unwrap_or(u64::MAX);
         headers.insert(DEADLINE_MS, HeaderValue::from(millis));
-        Upcall {
+        EndpointRequest {
             address,
             attempt: ready.attempt(),
             method: self.method.clone(),
--- a/cornelstand/src/head.rs
+++ b/cornelstand/src/head.rs
@@ -15,7 +15,7 @@
 use crate::call::Call;
 use crate::config::Kind;
 use crate::relay::{Origin, Resumed};
-use crate::upstream::Upcall;
+use crate::upstream::EndpointRequest;
 
 /// Why no head was received.
 pub(crate) enum HeadError {
@@ -27,7 +27,7 @@
 
 /// The part of a chat completion request that selects streaming.
 #[derive(Deserialize)]
-struct ChatForm {
+struct ChatRequest {
     #[serde(default)]
     stream: bool,
 }
@@ -36,28 +36,28 @@
     /// Sends a request and waits for the head of the answer.
     pub(crate) async fn head(
         &self,
-        upcall: Upcall,
+        request: EndpointRequest,
         origin: &Origin,
         wait: Duration,
     ) -> Result<Response, HeadError> {
-        let until = Instant::now() + wait;
-        let loss = match self.first_head(upcall, origin, until).await {
+        let deadline = Instant::now() + wait;
+        let loss = match self.initial_head(request, origin, deadline).await {
             Err(HeadError::Lost(loss)) if self.is_resumable() => loss,
             other => return other,
         };
         match origin.resume(0).await {
-            Resumed::Stream(answer) => Ok(self.picked_up(answer, origin)),
+            Resumed::Stream(answer) => Ok(self.resumed(answer, origin)),
             Resumed::Unknown | Resumed::Down | Resumed::Failed => Err(HeadError::Lost(loss)),
         }
     }
 
-    async fn first_head(
+    async fn initial_head(
         &self,
-        upcall: Upcall,
+        request: EndpointRequest,
         origin: &Origin,
-        until: Instant,
+        deadline: Instant,
     ) -> Result<Response, HeadError> {
-        let send = timeout_at(until, self.core.upstreams.send(upcall));
+        let send = timeout_at(deadline, self.core.upstreams.send(request));
         let mut send = std::pin::pin!(send);
         if self.kind == Kind::Model {
             tokio::select! {
@@ -66,7 +66,7 @@
             }
             match origin.resume(0).await {
                 Resumed::Stream(answer) if self.is_resumable() => {
-                    return Ok(self.picked_up(answer, origin));
+                    return Ok(self.resumed(answer, origin));
                 }
                 Resumed::Unknown => return Err(HeadError::Lost(Loss::Silent)),
                 Resumed::Stream(_) | Resumed::Down | Resumed::Failed => {}
@@ -76,7 +76,7 @@
     }
 
     /// Replaces the pool, since the engine has the stream but its connection did not deliver it.
-    fn picked_up(&self, answer: Response, origin: &Origin) -> Response {
+    fn resumed(&self, answer: Response, origin: &Origin) -> Response {
         self.core.replace_pool(origin.address);
         answer
     }
@@ -86,8 +86,8 @@
         let CallBody::Buffered(body) = &self.body else {
             return false;
         };
-        let form = serde_json::from_slice::<ChatForm>(body);
-        self.kind == Kind::Model && form.is_ok_and(|f| f.stream)
+        let request = serde_json::from_slice::<ChatRequest>(body);
+        self.kind == Kind::Model && request.is_ok_and(|f| f.stream)
     }
 }
 
--- a/cornelstand/src/upstream.rs
+++ b/cornelstand/src/upstream.rs
@@ -19,28 +19,28 @@
 use crate::name::{AttemptId, BootId};
 
 /// Timeout for opening a connection.
-const CONNECT: Duration = Duration::from_secs(2);
+const CONNECT_TIMEOUT: Duration = Duration::from_secs(2);
 /// Time after which an idle pooled connection is closed.
-const POOL_IDLE: Duration = Duration::from_secs(20);
+const POOL_IDLE_TIMEOUT: Duration = Duration::from_secs(20);
 /// Interval of TCP keepalive probes.
-const PROBE: Duration = Duration::from_secs(5);
+const KEEPALIVE_INTERVAL: Duration = Duration::from_secs(5);
 /// Unanswered keepalive probes after which a connection is closed.
-const PROBES: u32 = 2;
+const KEEPALIVE_PROBES: u32 = 2;
 /// Maximum time that sent bytes may stay unacknowledged.
-const UNACKNOWLEDGED: Duration = Duration::from_secs(10);
+const TCP_USER_TIMEOUT: Duration = Duration::from_secs(10);
 /// Timeout for cancelling a stream.
-const CANCEL: Duration = Duration::from_secs(5);
+const CANCEL_TIMEOUT: Duration = Duration::from_secs(5);
 
 /// HTTP clients of all endpoints.
 #[derive(Debug)]
 pub(crate) struct Upstreams {
     pools: Mutex<HashMap<SocketAddr, Client>>,
-    single: Client,
+    unpooled: Client,
 }
 
 /// A request to an endpoint.
 #[derive(Debug)]
-pub(crate) struct Upcall {
+pub(crate) struct EndpointRequest {
     pub(crate) address: SocketAddr,
     pub(crate) attempt: AttemptId,
     pub(crate) method: Method,
@@ -55,26 +55,27 @@
     pub(crate) fn new() -> Self {
         Self {
             pools: Mutex::default(),
-            single: client(0),
+            unpooled: client(0),
         }
     }
 
     /// Sends a request and waits for the head of the answer.
-    pub(crate) async fn send(&self, call: Upcall) -> Result<Response, reqwest::Error> {
-        let http = match call.repeat {
-            Repeat::Idempotent => self.pool(call.address),
-            Repeat::Once => self.single.clone(),
+    pub(crate) async fn send(&self, request: EndpointRequest) -> Result<Response, reqwest::Error> {
+        let client = match request.repeat {
+            Repeat::Idempotent => self.pool(request.address),
+            Repeat::Once => self.unpooled.clone(),
         };
-        let mut headers = call.headers;
-        headers.insert(REQUEST_ID, attempt_value(call.attempt));
-        http.request(
-            call.method,
-            format!("http://{}{}", call.address, call.target),
-        )
-        .headers(headers)
-        .body(call.body)
-        .send()
-        .await
+        let mut headers = request.headers;
+        headers.insert(REQUEST_ID, attempt_value(request.attempt));
+        client
+            .request(
+                request.method,
+                format!("http://{}{}", request.address, request.target),
+            )
+            .headers(headers)
+            .body(request.body)
+            .send()
+            .await
     }
 
     /// Requests the rest of a stream after `chunks` chunks on a new connection.
@@ -86,7 +87,7 @@
     ) -> Result<Response, reqwest::Error> {
         let stream = attempt_text(attempt);
         let url = format!("http://{address}/streams/{stream}?after={chunks}");
-        let request = self.single.get(url);
+        let request = self.unpooled.get(url);
         request
             .header(REQUEST_ID, attempt_value(attempt))
             .send()
@@ -97,13 +98,13 @@
     pub(crate) async fn cancel(&self, address: SocketAddr, attempt: AttemptId) -> bool {
         let stream = attempt_text(attempt);
         let url = format!("http://{address}/streams/{stream}/cancel");
-        let answer = self.single.post(url).timeout(CANCEL).send().await;
+        let answer = self.unpooled.post(url).timeout(CANCEL_TIMEOUT).send().await;
         answer.is_ok_and(|a| a.status().is_success())
     }
 
     /// Queries the boot identity of an endpoint on a new connection.
     pub(crate) async fn boot(&self, address: SocketAddr) -> Result<Option<BootId>, reqwest::Error> {
-        let answer = self.single.get(format!("http://{address}/load")).send();
+        let answer = self.unpooled.get(format!("http://{address}/load")).send();
         Ok(boot_of(answer.await?.headers()))
     }
 
@@ -151,20 +152,20 @@
     HeaderValue::from_str(&attempt_text(attempt)).unwrap_or_else(|_| HeaderValue::from_static(""))
 }
 
-fn client(idle: usize) -> Client {
+fn client(max_idle: usize) -> Client {
     Client::builder()
         .no_proxy()
         .http1_only()
         .redirect(reqwest::redirect::Policy::none())
         .retry(reqwest::retry::never())
-        .connect_timeout(CONNECT)
-        .pool_idle_timeout(POOL_IDLE)
-        .pool_max_idle_per_host(idle)
+        .connect_timeout(CONNECT_TIMEOUT)
+        .pool_idle_timeout(POOL_IDLE_TIMEOUT)
+        .pool_max_idle_per_host(max_idle)
         .tcp_nodelay(true)
-        .tcp_keepalive(PROBE)
-        .tcp_keepalive_interval(PROBE)
-        .tcp_keepalive_retries(PROBES)
-        .tcp_user_timeout(UNACKNOWLEDGED)
+        .tcp_keepalive(KEEPALIVE_INTERVAL)
+        .tcp_keepalive_interval(KEEPALIVE_INTERVAL)
+        .tcp_keepalive_retries(KEEPALIVE_PROBES)
+        .tcp_user_timeout(TCP_USER_TIMEOUT)
         .build()
         .expect("an HTTP client without TLS needs no system resources")
 }
