--- a/cornelstand/src/call.rs
+++ b/cornelstand/src/call.rs
@@ -33,7 +33,7 @@
 use crate::name::{AccountName, EndpointName, Fingerprint, RequestId, ServiceName};
 use crate::problem::Problem;
 use crate::refusal;
-use crate::relay::{Origin, Source, has_end, is_events};
+use crate::relay::{AnswerBody, Origin, is_delimited, is_events};
 use crate::retry::RetryPermit;
 use crate::timeline::Topic;
 use crate::upstream::{EndpointRequest, boot_of, is_foreign};
@@ -319,16 +319,16 @@
         }
         let model = self.kind == Kind::Model;
         let events = model && is_events(&headers);
-        if !events && !has_end(&self.method, status, &headers) {
+        if !events && !is_delimited(&self.method, status, &headers) {
             return self.lost(sent, Loss::Broken, leg, caller).await;
         }
-        let source = Source::new(origin, answer, model);
+        let body = AnswerBody::new(origin, answer, model);
         let head = Head {
             status,
             headers,
             events,
         };
-        self.deliver(sent, leg, head, source, caller).await
+        self.deliver(sent, leg, head, body, caller).await
     }
 
     /// Handles a lost attempt: retries the request if that is allowed.
--- a/cornelstand/src/deliver.rs
+++ b/cornelstand/src/deliver.rs
@@ -20,7 +20,7 @@
 use crate::config::Kind;
 use crate::flight::Flight;
 use crate::headers::{REQUEST_ID, forwarded};
-use crate::relay::Source;
+use crate::relay::AnswerBody;
 
 /// Largest answer that is buffered until complete, so that a truncated one can be retried.
 const HELD_BYTES: u64 = 64 * 1024;
@@ -108,11 +108,11 @@
         sent: Sent,
         mut leg: Leg,
         head: Head,
-        mut source: Source,
+        mut body: AnswerBody,
         mut caller: Caller,
     ) -> Step {
         let ahead = tokio::select! {
-            ahead = self.read_ahead(&head, &mut source, &mut leg.flight) => ahead,
+            ahead = self.read_ahead(&head, &mut body, &mut leg.flight) => ahead,
             () = caller.gone(), if !self.is_claimed() => {
                 leg.flight.cancel(leg.address);
                 caller.leave();
@@ -125,7 +125,7 @@
         };
         let mut keep = self.is_claimed().then(|| Keep::new(&head));
         let reader = caller.begin(sent.answering(), head.status, head.for_caller());
-        let delivered = self.pass(&mut leg, source, &reader, ahead, &mut keep).await;
+        let delivered = self.pass(&mut leg, body, &reader, ahead, &mut keep).await;
         self.conclude(leg, reader, delivered, head.status, keep)
             .await;
         Step::Done
@@ -135,13 +135,13 @@
     async fn read_ahead(
         &self,
         head: &Head,
-        source: &mut Source,
+        body: &mut AnswerBody,
         flight: &mut Flight,
     ) -> Result<Ahead, Loss> {
         let mut ahead = Ahead::default();
         let mut wait = self.first_wait(flight);
         while ahead.pieces.is_empty() || head.is_short() {
-            let Some(piece) = source.next(wait).await? else {
+            let Some(piece) = body.next(wait).await? else {
                 ahead.ended = true;
                 break;
             };
@@ -155,7 +155,7 @@
     async fn pass(
         &self,
         leg: &mut Leg,
-        mut source: Source,
+        mut body: AnswerBody,
         reader: &Reader,
         ahead: Ahead,
         keep: &mut Option<Keep>,
@@ -168,11 +168,11 @@
                 Some(piece) => Ok(Some(piece)),
                 None if ahead.ended => Ok(None),
                 None => tokio::select! {
-                    next = source.next(idle) => next,
+                    next = body.next(idle) => next,
                     () = reader.gone(), if keep.is_none() => return Delivered::Gone,
                 },
             };
-            self.charge(&source, &mut leg.flight);
+            self.charge(&body, &mut leg.flight);
             let piece = match next {
                 Ok(Some(piece)) => piece,
                 Ok(None) => return Delivered::Whole,
@@ -226,9 +226,9 @@
     }
 
     /// Updates the cost of a running attempt.
-    fn charge(&self, source: &Source, flight: &mut Flight) {
+    fn charge(&self, body: &AnswerBody, flight: &mut Flight) {
         let cost = match self.kind {
-            Kind::Model => source.tokens().unwrap_or_else(|| flight.grant().charged),
+            Kind::Model => body.tokens().unwrap_or_else(|| flight.grant().charged),
             Kind::Plain => flight.slot_millis(self.core.clock.now()),
         };
         flight.progress(cost);
--- a/cornelstand/src/relay.rs
+++ b/cornelstand/src/relay.rs
@@ -1,8 +1,8 @@
 //! Streaming of endpoints' answers, with detection of truncated ones.
 //!
-//! A [`Source`] yields bytes for the caller and ends only when complete: an event stream after its
-//! last event, another answer after its content-length or last chunk. A truncated event stream is
-//! resumed on a new connection after the last complete event.
+//! An [`AnswerBody`] yields bytes for the caller and ends only when complete: an event stream after
+//! its last event, another answer after its content-length or last chunk. A truncated event stream
+//! is resumed on a new connection after the last complete event.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -21,17 +21,17 @@
 use crate::upstream::is_foreign;
 
 /// Maximum resumptions of a stream without a new event in between.
-const RESUMES: u32 = 3;
+const MAX_RESUMES: u32 = 3;
 /// Maximum bytes of a non-streamed answer kept to find its usage.
 const USAGE_BYTES: usize = 256 * 1024;
 /// Pause before another resumption, multiplied by the number of tries.
-const PAUSE: Duration = Duration::from_millis(100);
+const RESUME_BACKOFF: Duration = Duration::from_millis(100);
 /// Timeout for an engine to resume a stream.
-const RESUME: Duration = Duration::from_secs(2);
+const RESUME_TIMEOUT: Duration = Duration::from_secs(2);
 /// Timeout for the end of a stream after its last event.
-const TAIL: Duration = Duration::from_secs(1);
+const DRAIN_TIMEOUT: Duration = Duration::from_secs(1);
 
-type Bytestream = BoxStream<'static, reqwest::Result<Bytes>>;
+type ByteStream = BoxStream<'static, reqwest::Result<Bytes>>;
 
 /// Endpoint and attempt that an answer comes from.
 #[derive(Clone)]
@@ -42,16 +42,22 @@
 }
 
 /// Kind of an answer's body.
-enum Form {
-    Events { scanner: Scanner, resumes: u32 },
-    Whole { seen: Vec<u8>, watched: bool },
+enum BodyKind {
+    Events {
+        scanner: Scanner,
+        resumes: u32,
+    },
+    Whole {
+        collected: Vec<u8>,
+        is_collecting: bool,
+    },
 }
 
 /// Body of an answer.
-pub(crate) struct Source {
+pub(crate) struct AnswerBody {
     origin: Origin,
-    stream: Bytestream,
-    form: Form,
+    stream: ByteStream,
+    kind: BodyKind,
 }
 
 /// Returns whether an answer is a readable stream of server-sent events.
@@ -64,59 +70,65 @@
 }
 
 /// Returns whether the end of an answer can be distinguished from a truncation.
-pub(crate) fn has_end(method: &Method, status: StatusCode, headers: &HeaderMap) -> bool {
+pub(crate) fn is_delimited(method: &Method, status: StatusCode, headers: &HeaderMap) -> bool {
     let bodyless = method == Method::HEAD
         || status == StatusCode::NO_CONTENT
         || status == StatusCode::NOT_MODIFIED;
     bodyless || headers.contains_key(CONTENT_LENGTH) || headers.contains_key(TRANSFER_ENCODING)
 }
 
-impl Source {
+impl AnswerBody {
     /// Wraps the body of `answer`; `model` tells whether it may contain token usage.
     pub(crate) fn new(origin: Origin, answer: Response, model: bool) -> Self {
-        let form = if model && is_events(answer.headers()) {
-            Form::Events {
+        let kind = if model && is_events(answer.headers()) {
+            BodyKind::Events {
                 scanner: Scanner::default(),
                 resumes: 0,
             }
         } else {
-            Form::Whole {
-                seen: Vec::new(),
-                watched: model,
+            BodyKind::Whole {
+                collected: Vec::new(),
+                is_collecting: model,
             }
         };
         Self {
             origin,
             stream: answer.bytes_stream().boxed(),
-            form,
+            kind,
         }
     }
 
     /// Returns the next bytes for the caller, `None` at the end of a complete answer.
     pub(crate) async fn next(&mut self, wait: Duration) -> Result<Option<Bytes>, Loss> {
-        match &mut self.form {
-            Form::Whole { seen, watched } => {
-                let piece = pull(&mut self.stream, wait).await?;
-                if let (true, Some(bytes)) = (*watched, &piece) {
-                    watch(seen, watched, bytes);
+        match &mut self.kind {
+            BodyKind::Whole {
+                collected,
+                is_collecting,
+            } => {
+                let bytes = next_bytes(&mut self.stream, wait).await?;
+                if let (true, Some(bytes)) = (*is_collecting, &bytes) {
+                    collect(collected, is_collecting, bytes);
                 }
-                Ok(piece)
+                Ok(bytes)
             }
-            Form::Events { .. } => self.next_events(wait).await,
+            BodyKind::Events { .. } => self.next_events(wait).await,
         }
     }
 
     /// Returns the cost in tokens so far, if the answer reports it.
     pub(crate) fn tokens(&self) -> Option<u64> {
-        match &self.form {
-            Form::Events { scanner, .. } => Some(scanner.tokens().unwrap_or(scanner.chunks())),
-            Form::Whole { seen, watched } => watched.then(|| sse::usage(seen)).flatten(),
+        match &self.kind {
+            BodyKind::Events { scanner, .. } => Some(scanner.tokens().unwrap_or(scanner.chunks())),
+            BodyKind::Whole {
+                collected,
+                is_collecting,
+            } => is_collecting.then(|| sse::usage(collected)).flatten(),
         }
     }
 
     async fn next_events(&mut self, wait: Duration) -> Result<Option<Bytes>, Loss> {
         loop {
-            match self.pull_events(wait).await {
+            match self.read_events(wait).await {
                 Err(loss) => self.resume(loss).await?,
                 events => return events,
             }
@@ -124,8 +136,8 @@
     }
 
     /// Returns the next complete events of the current stream.
-    async fn pull_events(&mut self, wait: Duration) -> Result<Option<Bytes>, Loss> {
-        let Form::Events { scanner, resumes } = &mut self.form else {
+    async fn read_events(&mut self, wait: Duration) -> Result<Option<Bytes>, Loss> {
+        let BodyKind::Events { scanner, resumes } = &mut self.kind else {
             return Ok(None);
         };
         if scanner.is_done() {
@@ -133,7 +145,9 @@
             return Ok(None);
         }
         loop {
-            let bytes = pull(&mut self.stream, wait).await?.ok_or(Loss::Broken)?;
+            let bytes = next_bytes(&mut self.stream, wait)
+                .await?
+                .ok_or(Loss::Broken)?;
             let events = scanner.push(&bytes).map_err(|_| Loss::Broken)?;
             if !events.is_empty() {
                 *resumes = 0;
@@ -144,14 +158,14 @@
 
     /// Resumes the stream after its last complete event.
     async fn resume(&mut self, loss: Loss) -> Result<(), Loss> {
-        let Form::Events { scanner, resumes } = &mut self.form else {
+        let BodyKind::Events { scanner, resumes } = &mut self.kind else {
             return Err(loss);
         };
         scanner.rewind();
         if loss.is_silent() {
             self.origin.core.replace_pool(self.origin.address);
         }
-        while *resumes < RESUMES {
+        while *resumes < MAX_RESUMES {
             *resumes += 1;
             match self.origin.resume(scanner.chunks()).await {
                 Resumed::Stream(answer) => {
@@ -159,7 +173,7 @@
                     return Ok(());
                 }
                 Resumed::Unknown | Resumed::Down => return Err(loss),
-                Resumed::Failed => tokio::time::sleep(PAUSE * *resumes).await,
+                Resumed::Failed => tokio::time::sleep(RESUME_BACKOFF * *resumes).await,
             }
         }
         Err(loss)
@@ -183,7 +197,7 @@
     pub(crate) async fn resume(&self, chunks: u64) -> Resumed {
         let upstreams = &self.core.upstreams;
         let request = upstreams.resume(self.address, self.attempt, chunks);
-        let resumed = match tokio::time::timeout(RESUME, request).await {
+        let resumed = match tokio::time::timeout(RESUME_TIMEOUT, request).await {
             Ok(Ok(answer)) => self.resumed(answer),
             Ok(Err(error)) if error.is_connect() && !error.is_timeout() => Resumed::Down,
             Ok(Err(_)) | Err(_) => Resumed::Failed,
@@ -209,7 +223,7 @@
     }
 }
 
-async fn pull(stream: &mut Bytestream, wait: Duration) -> Result<Option<Bytes>, Loss> {
+async fn next_bytes(stream: &mut ByteStream, wait: Duration) -> Result<Option<Bytes>, Loss> {
     match tokio::time::timeout(wait, stream.next()).await {
         Ok(Some(Ok(bytes))) => Ok(Some(bytes)),
         Ok(Some(Err(_))) => Err(Loss::Broken),
@@ -219,16 +233,16 @@
 }
 
 /// Reads a stream to its end, so that its connection can be reused.
-async fn drain(stream: &mut Bytestream) {
+async fn drain(stream: &mut ByteStream) {
     let end = async { while let Some(Ok(_)) = stream.next().await {} };
-    let _ = tokio::time::timeout(TAIL, end).await;
+    let _ = tokio::time::timeout(DRAIN_TIMEOUT, end).await;
 }
 
-fn watch(seen: &mut Vec<u8>, watched: &mut bool, bytes: &[u8]) {
-    if seen.len() + bytes.len() > USAGE_BYTES {
-        *watched = false;
-        *seen = Vec::new();
+fn collect(collected: &mut Vec<u8>, is_collecting: &mut bool, bytes: &[u8]) {
+    if collected.len() + bytes.len() > USAGE_BYTES {
+        *is_collecting = false;
+        *collected = Vec::new();
         return;
     }
-    seen.extend_from_slice(bytes);
+    collected.extend_from_slice(bytes);
 }
