--- a/cornelstand/src/call.rs
+++ b/cornelstand/src/call.rs
@@ -336,7 +336,7 @@
         let attempt = sent.lost(loss);
         if let Some(fault) = self.upload_fault(loss) {
             leg.flight.cancel(leg.address);
-            let problem = refusal::body_broke(attempt, fault);
+            let problem = refusal::body_failed(attempt, fault);
             return self.give_up(caller, problem).await;
         }
         self.note_loss(loss, &leg);
@@ -347,7 +347,9 @@
         let Leg { flight, address } = leg;
         if !self.is_claimed() && self.core.clock.now() >= self.deadline {
             flight.cancel(address);
-            return self.give_up(caller, refusal::late(attempt)).await;
+            return self
+                .give_up(caller, refusal::deadline_passed(attempt))
+                .await;
         }
         flight.end(ending_of(loss));
         if let Some(permit) = self.permit() {
--- a/cornelstand/src/refusal.rs
+++ b/cornelstand/src/refusal.rs
@@ -9,7 +9,7 @@
 use crate::problem::{Problem, ProblemKind};
 
 /// Suggested delay when a retry may succeed.
-const RETRY: Duration = Duration::from_secs(1);
+const RETRY_DELAY: Duration = Duration::from_secs(1);
 
 /// The dispatcher did not grant the request.
 pub(crate) fn refused(ready: Ready, refusal: &Refusal) -> Problem {
@@ -18,7 +18,7 @@
         Refusal::NoEndpoint { retry } => (ProblemKind::NoEndpoint, Some(*retry)),
         Refusal::Deadline => (ProblemKind::DeadlinePassed, None),
         Refusal::NotOwner(_) | Refusal::UnknownAccount | Refusal::Cancelled => {
-            (ProblemKind::Unavailable, Some(RETRY))
+            (ProblemKind::Unavailable, Some(RETRY_DELAY))
         }
     };
     let mut problem = Problem::new(kind, ready.refuse(), refusal.to_string());
@@ -29,7 +29,7 @@
 /// The request waited longer for an endpoint than its claim allows.
 pub(crate) fn claim_late(ready: Ready) -> Problem {
     let detail = "no endpoint was free while the claim allowed sending";
-    Problem::new(ProblemKind::DeadlinePassed, ready.refuse(), detail).retry_after(RETRY)
+    Problem::new(ProblemKind::DeadlinePassed, ready.refuse(), detail).retry_after(RETRY_DELAY)
 }
 
 /// A sent request was lost and is not retried.
@@ -44,17 +44,17 @@
 /// Engines refused the request because they are overloaded.
 pub(crate) fn overloaded(attempt: Lost) -> Problem {
     let detail = "the endpoints are overloaded";
-    Problem::new(ProblemKind::NoEndpoint, attempt.refuse(), detail).retry_after(RETRY)
+    Problem::new(ProblemKind::NoEndpoint, attempt.refuse(), detail).retry_after(RETRY_DELAY)
 }
 
 /// The caller's deadline passed after the request was sent.
-pub(crate) fn late(attempt: Lost) -> Problem {
+pub(crate) fn deadline_passed(attempt: Lost) -> Problem {
     let detail = "the deadline passed before the answer began";
     Problem::new(ProblemKind::DeadlinePassed, attempt.refuse(), detail)
 }
 
 /// The caller's body failed while it was forwarded.
-pub(crate) fn body_broke(attempt: Lost, fault: BodyError) -> Problem {
+pub(crate) fn body_failed(attempt: Lost, fault: BodyError) -> Problem {
     let kind = match fault {
         BodyError::TooLarge { .. } => ProblemKind::BodyTooLarge,
         BodyError::Broken | BodyError::Slow => ProblemKind::BodyIncomplete,
@@ -72,7 +72,7 @@
 pub(crate) fn unclaimed(proof: NotRun, error: ClaimError) -> Problem {
     let kind = ProblemKind::StoreUnavailable;
     let verdict = Verdict::NotRun(proof);
-    Problem::new(kind, verdict, error.to_string()).retry_after(RETRY)
+    Problem::new(kind, verdict, error.to_string()).retry_after(RETRY_DELAY)
 }
 
 /// The idempotency key belongs to another request.
@@ -84,7 +84,7 @@
 /// The request with this key is still running.
 pub(crate) fn still_running() -> Problem {
     let detail = "a request with this idempotency key is running";
-    Problem::new(ProblemKind::StillRunning, Verdict::Unknown, detail).retry_after(RETRY)
+    Problem::new(ProblemKind::StillRunning, Verdict::Unknown, detail).retry_after(RETRY_DELAY)
 }
 
 /// The request with this key was sent before, with unknown outcome.
