--- a/cornelstand/src/caller.rs
+++ b/cornelstand/src/caller.rs
@@ -14,7 +14,7 @@
 use warp::reply::Response;
 
 use crate::attempt::{Answering, Verdict};
-use crate::entry_core::{Core, Open};
+use crate::entry_core::{Core, OpenRequest};
 use crate::headers::REQUEST_ID;
 use crate::name::RequestId;
 use crate::problem::{Problem, ProblemKind, id_value};
@@ -88,14 +88,14 @@
     core: Arc<Core>,
     request: RequestId,
     head: oneshot::Sender<Answer>,
-    open: Open,
+    open: OpenRequest,
 }
 
 /// Creates the two ends of a request: one for its task, one for its handler.
 pub(crate) fn caller(
     core: Arc<Core>,
     request: RequestId,
-    open: Open,
+    open: OpenRequest,
 ) -> (Caller, impl Future<Output = Answer>) {
     let (head, answer) = oneshot::channel();
     let waiting = {
@@ -127,7 +127,7 @@
     }
 
     /// Sends a refusal as the final answer.
-    pub(crate) fn refuse(self, problem: &Problem) -> Open {
+    pub(crate) fn refuse(self, problem: &Problem) -> OpenRequest {
         let answer = Answer::refused(&self.core, self.request, problem);
         let _ = self.head.send(answer);
         self.open
@@ -150,7 +150,7 @@
     }
 
     /// Counts that the caller disconnected.
-    pub(crate) fn leave(self) -> Open {
+    pub(crate) fn leave(self) -> OpenRequest {
         self.core.count("gone");
         self.open
     }
@@ -183,7 +183,7 @@
     core: Arc<Core>,
     _answering: Answering,
     pieces: mpsc::Sender<Piece>,
-    open: Open,
+    open: OpenRequest,
 }
 
 impl Reader {
@@ -202,13 +202,13 @@
     }
 
     /// Ends a complete answer.
-    pub(crate) fn finish(self) -> Open {
+    pub(crate) fn finish(self) -> OpenRequest {
         self.core.count("answered");
         self.open
     }
 
     /// Aborts an incomplete answer, so that the caller sees an error.
-    pub(crate) async fn cut(self, idle: Duration) -> Open {
+    pub(crate) async fn cut(self, idle: Duration) -> OpenRequest {
         self.core.count("cut");
         let _ = self.pieces.send_timeout(Err(CutError), idle).await;
         self.open
--- a/cornelstand/src/entry.rs
+++ b/cornelstand/src/entry.rs
@@ -23,7 +23,7 @@
 use crate::config::Config;
 use crate::containment::SpreadCall;
 use crate::dispatch::{Census, Dispatch};
-use crate::entry_core::{Core, Open};
+use crate::entry_core::{Core, OpenRequest};
 use crate::entry_metrics::EntryMetrics;
 use crate::listener::{self, ConnectionLimits};
 use crate::moment::Clock;
@@ -216,7 +216,7 @@
 /// Handles one request.
 async fn handle(core: Arc<Core>, request: Request<Incoming>) -> Response {
     let id = RequestId(rand::random());
-    let open = Open::new(core.clone());
+    let open = OpenRequest::new(core.clone());
     let unsent = Unsent::new(id);
     let answer = match admit(&core, id, request).await {
         Ok(call) => {
--- a/cornelstand/src/entry_core.rs
+++ b/cornelstand/src/entry_core.rs
@@ -61,7 +61,7 @@
 
 impl Core {
     pub(crate) fn new(parts: EntryParts) -> Self {
-        let units = parts.limits.buffer_bytes / BUFFER_UNIT;
+        let permits = parts.limits.buffer_bytes / BUFFER_UNIT;
         Self {
             name: parts.name,
             dispatch: parts.dispatch,
@@ -80,7 +80,7 @@
             suspects: Mutex::default(),
             trials: Mutex::default(),
             boots: Mutex::default(),
-            buffers: Arc::new(Semaphore::new(units.min(Semaphore::MAX_PERMITS))),
+            buffers: Arc::new(Semaphore::new(permits.min(Semaphore::MAX_PERMITS))),
             calls: watch::Sender::new(0),
             draining: AtomicBool::new(false),
         }
@@ -125,8 +125,8 @@
 
     /// Reserves buffer space for a body of `bytes`, or returns `None` after `wait`.
     pub(crate) async fn room(&self, bytes: usize, wait: Duration) -> Option<OwnedSemaphorePermit> {
-        let units = u32::try_from(bytes.div_ceil(BUFFER_UNIT)).ok()?;
-        let permit = self.buffers.clone().acquire_many_owned(units);
+        let permits = u32::try_from(bytes.div_ceil(BUFFER_UNIT)).ok()?;
+        let permit = self.buffers.clone().acquire_many_owned(permits);
         timeout(wait, permit).await.ok()?.ok()
     }
 
@@ -186,7 +186,7 @@
         let config = self.config();
         let mut view = lock(&self.view);
         if !Arc::ptr_eq(&view.config, &config) {
-            self.forget(&config);
+            self.prune(&config);
             view.keys = Arc::new(KeyIndex::new(&config));
             view.config = config;
         }
@@ -194,7 +194,7 @@
     }
 
     /// Drops state of endpoints, accounts and services that `config` does not have.
-    fn forget(&self, config: &Config) {
+    fn prune(&self, config: &Config) {
         let known = |address| config.endpoints.values().any(|e| e.address == address);
         self.upstreams.retain(known);
         lock(&self.boots).retain(|name, _| config.endpoints.contains_key(name));
@@ -209,9 +209,9 @@
 }
 
 /// Counts a request as open until dropped.
-pub(crate) struct Open(Arc<Core>);
+pub(crate) struct OpenRequest(Arc<Core>);
 
-impl Open {
+impl OpenRequest {
     pub(crate) fn new(core: Arc<Core>) -> Self {
         core.calls.send_modify(|n| *n += 1);
         core.metrics.open.inc();
@@ -219,7 +219,7 @@
     }
 }
 
-impl Drop for Open {
+impl Drop for OpenRequest {
     fn drop(&mut self) {
         self.0.calls.send_modify(|n| *n -= 1);
         self.0.metrics.open.dec();
