--- a/cornelstand/src/call.rs
+++ b/cornelstand/src/call.rs
@@ -39,7 +39,7 @@
 use crate::upstream::{EndpointRequest, boot_of, is_foreign};
 
 /// Delay before the third attempt.
-const PAUSE: Duration = Duration::from_millis(50);
+const BASE_BACKOFF: Duration = Duration::from_millis(50);
 /// Maximum number of times that the delay is doubled.
 const MAX_DOUBLINGS: u32 = 5;
 
@@ -78,7 +78,7 @@
 
 /// What follows an attempt. The caller is returned if the request is retried.
 pub(crate) enum Step {
-    Again(Ready, Caller),
+    Retry(Ready, Caller),
     Done,
 }
 
@@ -88,10 +88,10 @@
         self.record("accepted", self.service.as_str());
         self.core.budgets().earn(&self.account, &self.service);
         let mut step = self.claim(unsent, caller).await;
-        while let Step::Again(ready, mut caller) = step {
-            step = match self.pause(&ready, &mut caller).await {
+        while let Step::Retry(ready, mut caller) = step {
+            step = match self.backoff(&ready, &mut caller).await {
                 Ok(()) => self.attempt(ready, caller).await,
-                Err(Gone) => self.leave(ready, caller).await,
+                Err(Gone) => self.abandon(ready, caller).await,
             };
             self.trial = None;
         }
@@ -100,7 +100,7 @@
     /// Claims a request that may not be repeated, before an endpoint is requested.
     async fn claim(&mut self, unsent: Unsent, mut caller: Caller) -> Step {
         let Some(key) = self.key.as_deref().filter(|_| self.repeat == Repeat::Once) else {
-            return Step::Again(Ready::Unsent(unsent), caller);
+            return Step::Retry(Ready::Unsent(unsent), caller);
         };
         let claiming = self
             .core
@@ -109,14 +109,14 @@
         let begun = tokio::select! {
             begun = claiming => begun,
             () = caller.gone() => {
-                caller.leave();
+                caller.abandon();
                 return Step::Done;
             }
         };
         let problem = match begun {
             Ok(Begun::Fresh(ticket)) => {
                 self.ticket = Some(ticket);
-                return Step::Again(Ready::Unsent(unsent), caller);
+                return Step::Retry(Ready::Unsent(unsent), caller);
             }
             Ok(Begun::Answered(recorded)) => match recorded.body {
                 Some(body) => {
@@ -136,14 +136,14 @@
 
     /// Delays every attempt after the second, so that a grant that cannot be used is not requested
     /// in a tight loop until the dispatcher learns why.
-    async fn pause(&self, ready: &Ready, caller: &mut Caller) -> Result<(), Gone> {
+    async fn backoff(&self, ready: &Ready, caller: &mut Caller) -> Result<(), Gone> {
         let Some(doublings) = ready.attempt().number.checked_sub(2) else {
             return Ok(());
         };
         let left = self.deadline.since(self.core.clock.now());
-        let pause = PAUSE.saturating_mul(1 << doublings.min(MAX_DOUBLINGS));
+        let delay = BASE_BACKOFF.saturating_mul(1 << doublings.min(MAX_DOUBLINGS));
         tokio::select! {
-            () = sleep(pause.min(left)) => Ok(()),
+            () = sleep(delay.min(left)) => Ok(()),
             () = caller.gone() => Err(Gone),
         }
     }
@@ -151,32 +151,32 @@
     async fn attempt(&mut self, ready: Ready, mut caller: Caller) -> Step {
         match self.clearance(&mut caller).await {
             Ok(Clearance::Go) => {}
-            Ok(Clearance::Refused(left)) => return self.contain(ready, caller, left).await,
+            Ok(Clearance::Refused(left)) => return self.refuse_suspect(ready, caller, left).await,
             Ok(Clearance::Late) => {
                 let problem = refusal::refused(ready, &Refusal::Deadline);
                 return self.give_up(caller, problem).await;
             }
-            Err(Gone) => return self.leave(ready, caller).await,
+            Err(Gone) => return self.abandon(ready, caller).await,
         }
         let pauses = self.core.pauses.count();
         let grant = match self.offer(&ready, &mut caller).await {
             Ok(Ok(grant)) => grant,
-            Ok(Err(no)) => return self.give_up(caller, refusal::refused(ready, &no)).await,
-            Err(Gone) => return self.leave(ready, caller).await,
+            Ok(Err(reason)) => return self.give_up(caller, refusal::refused(ready, &reason)).await,
+            Err(Gone) => return self.abandon(ready, caller).await,
         };
         self.record("granted", grant.endpoint.as_str());
-        let is_crossed = grant.attempt != ready.attempt();
+        let is_mismatched = grant.attempt != ready.attempt();
         let attempt = ready.attempt();
         let flight = Flight::begin(self, Grant { attempt, ..grant });
-        if is_crossed {
+        if is_mismatched {
             flight.end(Ending::NotSent);
             self.count_retry("crossed");
-            return Step::Again(ready.next(), caller);
+            return Step::Retry(ready.next(), caller);
         }
         if self.core.pauses.has_paused(pauses, self.core.clock.now()) {
             flight.end(Ending::NotSent);
             self.count_retry("paused");
-            return Step::Again(ready.next(), caller);
+            return Step::Retry(ready.next(), caller);
         }
         if self.is_claim_late() {
             flight.end(Ending::NotSent);
@@ -189,7 +189,7 @@
             self.avoid(&flight);
             flight.end(Ending::NotSent);
             self.count_retry("withdrawn");
-            return Step::Again(ready.next(), caller);
+            return Step::Retry(ready.next(), caller);
         };
         self.send(ready, flight, address, caller).await
     }
@@ -261,7 +261,7 @@
             reply = self.head(endpoint_request, &origin, wait) => reply,
             () = caller.gone(), if !self.is_claimed() => {
                 flight.cancel(address);
-                caller.leave();
+                caller.abandon();
                 return Step::Done;
             }
         };
@@ -276,7 +276,7 @@
                 self.avoid(&flight);
                 flight.end(Ending::Broken);
                 self.count_retry("unconnected");
-                Step::Again(sending.unconnected(&proof), caller)
+                Step::Retry(sending.unconnected(&proof), caller)
             }
             Err(HeadError::Lost(loss)) => {
                 let leg = Leg { flight, address };
@@ -306,7 +306,7 @@
                     self.avoid(&leg.flight);
                     leg.flight.end(Ending::Overloaded);
                     self.count_retry("overloaded");
-                    return Step::Again(sent.lost(Loss::Failed).retry(permit), caller);
+                    return Step::Retry(sent.lost(Loss::Failed).retry(permit), caller);
                 }
                 None if self.kind == Kind::Model => {
                     leg.flight.end(Ending::Overloaded);
@@ -339,7 +339,7 @@
             let problem = refusal::body_failed(attempt, fault);
             return self.give_up(caller, problem).await;
         }
-        self.note_loss(loss, &leg);
+        self.record_loss(loss, &leg);
         self.avoid(&leg.flight);
         if loss.is_broken() {
             self.examine(&leg).await;
@@ -354,28 +354,28 @@
         flight.end(ending_of(loss));
         if let Some(permit) = self.permit() {
             self.count_retry("lost");
-            return Step::Again(attempt.retry(permit), caller);
+            return Step::Retry(attempt.retry(permit), caller);
         }
         self.give_up(caller, refusal::lost(attempt, loss)).await
     }
 
     /// Returns the error in the caller's body that caused a loss.
     fn upload_fault(&self, loss: Loss) -> Option<BodyError> {
-        let is_slow = loss.is_silent() && self.body.is_waiting_for_caller();
-        let slow = is_slow.then_some(BodyError::Slow);
-        self.body.fault().or(slow)
+        let is_upload_slow = loss.is_silent() && self.body.is_waiting_for_caller();
+        let timeout = is_upload_slow.then_some(BodyError::Slow);
+        self.body.fault().or(timeout)
     }
 
     /// Ends a request whose caller disconnected while no attempt was running.
-    async fn leave(&mut self, ready: Ready, caller: Caller) -> Step {
-        let open = caller.leave();
+    async fn abandon(&mut self, ready: Ready, caller: Caller) -> Step {
+        let open = caller.abandon();
         self.settle(&ready.refuse()).await;
         drop(open);
         Step::Done
     }
 
     /// Refuses a request suspected of crashing endpoints.
-    async fn contain(&mut self, ready: Ready, caller: Caller, left: Duration) -> Step {
+    async fn refuse_suspect(&mut self, ready: Ready, caller: Caller, left: Duration) -> Step {
         let open = caller.refuse(&refusal::suspect(left));
         self.settle(&ready.refuse()).await;
         drop(open);
@@ -447,7 +447,7 @@
     }
 
     /// Records a loss. A silent one replaces the pool, whose other connections may be dead, too.
-    pub(crate) fn note_loss(&self, loss: Loss, leg: &Leg) {
+    pub(crate) fn record_loss(&self, loss: Loss, leg: &Leg) {
         if loss.is_silent() {
             self.core.replace_pool(leg.address);
             if self.kind == Kind::Model {
--- a/cornelstand/src/caller.rs
+++ b/cornelstand/src/caller.rs
@@ -23,29 +23,29 @@
 /// Header that marks a recorded answer to an earlier request.
 const REPLAYED: HeaderName = HeaderName::from_static("idempotent-replayed");
 /// Capacity of the channel of body chunks to the caller.
-const PIECES: usize = 4;
+const CHANNEL_CHUNKS: usize = 4;
 
 /// The answer ended early. It aborts the caller's stream, so that the answer cannot be mistaken
 /// for a complete one.
 #[derive(Clone, Copy, Debug, Eq, PartialEq, Snafu)]
-#[snafu(display("the answer was cut"))]
-pub(crate) struct CutError;
+#[snafu(display("the answer was truncated"))]
+pub(crate) struct TruncatedError;
 
 /// The caller no longer takes the answer.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub(crate) struct Gone;
 
-type Piece = Result<Bytes, CutError>;
+type Chunk = Result<Bytes, TruncatedError>;
 
 /// Answer that a request handler passes to the HTTP library.
 pub(crate) enum Answer {
     /// The whole answer is available.
-    Short(http::Response<Vec<u8>>),
+    Complete(http::Response<Vec<u8>>),
     /// The body is streamed.
-    Begun {
+    Streaming {
         status: StatusCode,
         headers: HeaderMap,
-        body: mpsc::Receiver<Piece>,
+        body: mpsc::Receiver<Chunk>,
     },
 }
 
@@ -58,17 +58,17 @@
         core.metrics.refusals.with_label_values(&[&kind]).inc();
         core.timeline
             .record(Topic::Request, "refused", &kind, Some(request));
-        Self::Short(problem.answer(request))
+        Self::Complete(problem.answer(request))
     }
 
     /// Converts the answer to `request` for the HTTP library.
     pub(crate) fn into_response(self, request: RequestId) -> Response {
         match self {
-            Self::Short(answer) => {
+            Self::Complete(answer) => {
                 let (parts, body) = answer.into_parts();
                 Response::from_parts(parts, body.into())
             }
-            Self::Begun {
+            Self::Streaming {
                 status,
                 headers,
                 body,
@@ -92,7 +92,7 @@
 }
 
 /// Creates the two ends of a request: one for its task, one for its handler.
-pub(crate) fn caller(
+pub(crate) fn caller_channel(
     core: Arc<Core>,
     request: RequestId,
     open: OpenRequest,
@@ -146,11 +146,11 @@
         {
             headers.insert(CONTENT_TYPE, media);
         }
-        let _ = self.head.send(Answer::Short(answer));
+        let _ = self.head.send(Answer::Complete(answer));
     }
 
     /// Counts that the caller disconnected.
-    pub(crate) fn leave(self) -> OpenRequest {
+    pub(crate) fn abandon(self) -> OpenRequest {
         self.core.count("gone");
         self.open
     }
@@ -161,43 +161,43 @@
         answering: Answering,
         status: StatusCode,
         headers: HeaderMap,
-    ) -> Reader {
-        let (pieces, body) = mpsc::channel(PIECES);
-        let answer = Answer::Begun {
+    ) -> BodyWriter {
+        let (chunks, body) = mpsc::channel(CHANNEL_CHUNKS);
+        let answer = Answer::Streaming {
             status,
             headers,
             body,
         };
         let _ = self.head.send(answer);
-        Reader {
+        BodyWriter {
             core: self.core,
             _answering: answering,
-            pieces,
+            chunks,
             open: self.open,
         }
     }
 }
 
 /// Writes the body of the answer to the caller.
-pub(crate) struct Reader {
+pub(crate) struct BodyWriter {
     core: Arc<Core>,
     _answering: Answering,
-    pieces: mpsc::Sender<Piece>,
+    chunks: mpsc::Sender<Chunk>,
     open: OpenRequest,
 }
 
-impl Reader {
+impl BodyWriter {
     /// Waits until the caller disconnects.
     pub(crate) async fn gone(&self) {
-        self.pieces.closed().await;
+        self.chunks.closed().await;
     }
 
     /// Writes a chunk once the caller has taken enough of the earlier ones.
-    pub(crate) async fn write(&self, piece: Bytes, idle: Duration) -> Result<(), Gone> {
-        if piece.is_empty() {
+    pub(crate) async fn write(&self, chunk: Bytes, idle: Duration) -> Result<(), Gone> {
+        if chunk.is_empty() {
             return Ok(());
         }
-        let sent = self.pieces.send_timeout(Ok(piece), idle).await;
+        let sent = self.chunks.send_timeout(Ok(chunk), idle).await;
         sent.map_err(|_| Gone)
     }
 
@@ -208,15 +208,15 @@
     }
 
     /// Aborts an incomplete answer, so that the caller sees an error.
-    pub(crate) async fn cut(self, idle: Duration) -> OpenRequest {
+    pub(crate) async fn abort(self, idle: Duration) -> OpenRequest {
         self.core.count("cut");
-        let _ = self.pieces.send_timeout(Err(CutError), idle).await;
+        let _ = self.chunks.send_timeout(Err(TruncatedError), idle).await;
         self.open
     }
 
     /// Ends an answer that the caller no longer takes.
-    pub(crate) async fn leave(self, idle: Duration) {
+    pub(crate) async fn abandon(self, idle: Duration) {
         self.core.count("gone");
-        let _ = self.pieces.send_timeout(Err(CutError), idle).await;
+        let _ = self.chunks.send_timeout(Err(TruncatedError), idle).await;
     }
 }
--- a/cornelstand/src/deliver.rs
+++ b/cornelstand/src/deliver.rs
@@ -15,7 +15,7 @@
 use crate::attempt::{Loss, Sent};
 use crate::body::stated_length;
 use crate::call::{Call, Step, ending_of};
-use crate::caller::{Caller, Gone, Reader};
+use crate::caller::{BodyWriter, Caller, Gone};
 use crate::claim::{BODY_BYTES, Recorded};
 use crate::config::Kind;
 use crate::flight::Flight;
@@ -23,7 +23,7 @@
 use crate::relay::AnswerBody;
 
 /// Largest answer that is buffered until complete, so that a truncated one can be retried.
-const HELD_BYTES: u64 = 64 * 1024;
+const MAX_BUFFERED_BYTES: u64 = 64 * 1024;
 
 /// A sent attempt and its endpoint's address.
 pub(crate) struct Leg {
@@ -51,7 +51,7 @@
     }
 
     fn is_short(&self) -> bool {
-        !self.events && stated_length(&self.headers).is_some_and(|l| l <= HELD_BYTES)
+        !self.events && stated_length(&self.headers).is_some_and(|l| l <= MAX_BUFFERED_BYTES)
     }
 
     fn media(&self) -> &str {
@@ -62,19 +62,19 @@
 
 /// The part of an answer that was read before its head was sent.
 #[derive(Default)]
-struct Ahead {
-    pieces: Vec<Bytes>,
+struct ReadAhead {
+    chunks: Vec<Bytes>,
     ended: bool,
 }
 
 /// Collects the beginning of an answer's body for its record.
-struct Keep {
+struct AnswerRecorder {
     status: u16,
     media: String,
     body: BytesMut,
 }
 
-impl Keep {
+impl AnswerRecorder {
     fn new(head: &Head) -> Self {
         Self {
             status: head.status.as_u16(),
@@ -84,9 +84,9 @@
     }
 
     /// Keeps up to one byte more than a record holds, which marks the body as too long.
-    fn push(&mut self, piece: &[u8]) {
+    fn push(&mut self, chunk: &[u8]) {
         let room = (BODY_BYTES + 1).saturating_sub(self.body.len());
-        self.body.extend_from_slice(&piece[..piece.len().min(room)]);
+        self.body.extend_from_slice(&chunk[..chunk.len().min(room)]);
     }
 
     fn recorded(self) -> Recorded {
@@ -96,9 +96,9 @@
 
 /// How a delivery ended.
 enum Delivered {
-    Whole,
-    Cut(Loss),
-    Gone,
+    Complete,
+    Truncated(Loss),
+    Disconnected,
 }
 
 impl Call {
@@ -115,7 +115,7 @@
             ahead = self.read_ahead(&head, &mut body, &mut leg.flight) => ahead,
             () = caller.gone(), if !self.is_claimed() => {
                 leg.flight.cancel(leg.address);
-                caller.leave();
+                caller.abandon();
                 return Step::Done;
             }
         };
@@ -123,10 +123,12 @@
             Ok(ahead) => ahead,
             Err(loss) => return self.lost(sent, loss, leg, caller).await,
         };
-        let mut keep = self.is_claimed().then(|| Keep::new(&head));
-        let reader = caller.begin(sent.answering(), head.status, head.for_caller());
-        let delivered = self.pass(&mut leg, body, &reader, ahead, &mut keep).await;
-        self.conclude(leg, reader, delivered, head.status, keep)
+        let mut recorder = self.is_claimed().then(|| AnswerRecorder::new(&head));
+        let writer = caller.begin(sent.answering(), head.status, head.for_caller());
+        let delivered = self
+            .forward(&mut leg, body, &writer, ahead, &mut recorder)
+            .await;
+        self.finish_delivery(leg, writer, delivered, head.status, recorder)
             .await;
         Step::Done
     }
@@ -137,90 +139,91 @@
         head: &Head,
         body: &mut AnswerBody,
         flight: &mut Flight,
-    ) -> Result<Ahead, Loss> {
-        let mut ahead = Ahead::default();
+    ) -> Result<ReadAhead, Loss> {
+        let mut ahead = ReadAhead::default();
         let mut wait = self.first_wait(flight);
-        while ahead.pieces.is_empty() || head.is_short() {
-            let Some(piece) = body.next(wait).await? else {
+        while ahead.chunks.is_empty() || head.is_short() {
+            let Some(chunk) = body.next(wait).await? else {
                 ahead.ended = true;
                 break;
             };
             flight.first_byte(self.core.clock.now());
-            ahead.pieces.push(piece);
+            ahead.chunks.push(chunk);
             wait = self.core.limits.idle();
         }
         Ok(ahead)
     }
 
-    async fn pass(
+    async fn forward(
         &self,
         leg: &mut Leg,
         mut body: AnswerBody,
-        reader: &Reader,
-        ahead: Ahead,
-        keep: &mut Option<Keep>,
+        writer: &BodyWriter,
+        ahead: ReadAhead,
+        recorder: &mut Option<AnswerRecorder>,
     ) -> Delivered {
         let idle = self.core.limits.idle();
-        let mut listening = true;
-        let mut pieces = ahead.pieces.into_iter();
+        let mut is_connected = true;
+        let mut chunks = ahead.chunks.into_iter();
         loop {
-            let next = match pieces.next() {
-                Some(piece) => Ok(Some(piece)),
+            let next = match chunks.next() {
+                Some(chunk) => Ok(Some(chunk)),
                 None if ahead.ended => Ok(None),
                 None => tokio::select! {
                     next = body.next(idle) => next,
-                    () = reader.gone(), if keep.is_none() => return Delivered::Gone,
+                    () = writer.gone(), if recorder.is_none() => return Delivered::Disconnected,
                 },
             };
             self.charge(&body, &mut leg.flight);
-            let piece = match next {
-                Ok(Some(piece)) => piece,
-                Ok(None) => return Delivered::Whole,
-                Err(loss) => return Delivered::Cut(loss),
+            let chunk = match next {
+                Ok(Some(chunk)) => chunk,
+                Ok(None) => return Delivered::Complete,
+                Err(loss) => return Delivered::Truncated(loss),
             };
-            if let Some(keep) = keep {
-                keep.push(&piece);
+            if let Some(recorder) = recorder {
+                recorder.push(&chunk);
             }
-            listening = listening && reader.write(piece, idle).await != Err(Gone);
-            if !listening && keep.is_none() {
-                return Delivered::Gone;
+            is_connected = is_connected && writer.write(chunk, idle).await != Err(Gone);
+            if !is_connected && recorder.is_none() {
+                return Delivered::Disconnected;
             }
         }
     }
 
     /// Reports the end of a delivery, to the caller first.
-    async fn conclude(
+    async fn finish_delivery(
         &mut self,
         leg: Leg,
-        reader: Reader,
+        writer: BodyWriter,
         delivered: Delivered,
         status: StatusCode,
-        keep: Option<Keep>,
+        recorder: Option<AnswerRecorder>,
     ) {
         let idle = self.core.limits.idle();
         match delivered {
-            Delivered::Whole => {
+            Delivered::Complete => {
                 self.record("answered", leg.flight.grant().endpoint.as_str());
                 self.note_answer(status.as_u16());
                 leg.flight.end(self.ending(status));
-                let open = reader.finish();
-                self.record_answer(keep.map(Keep::recorded)).await;
+                let open = writer.finish();
+                self.record_answer(recorder.map(AnswerRecorder::recorded))
+                    .await;
                 drop(open);
             }
-            Delivered::Cut(loss) => {
-                self.note_loss(loss, &leg);
+            Delivered::Truncated(loss) => {
+                self.record_loss(loss, &leg);
                 if loss.is_broken() {
                     self.examine(&leg).await;
                 }
                 leg.flight.end(ending_of(loss));
-                let open = reader.cut(idle).await;
+                let open = writer.abort(idle).await;
                 self.settle_unknown().await;
                 drop(open);
             }
-            Delivered::Gone => {
+            Delivered::Disconnected => {
                 self.record("caller-gone", leg.flight.grant().endpoint.as_str());
                 leg.flight.cancel(leg.address);
-                reader.leave(idle).await;
+                writer.abandon(idle).await;
             }
         }
     }
--- a/cornelstand/src/entry.rs
+++ b/cornelstand/src/entry.rs
@@ -18,7 +18,7 @@
 use crate::admit::admit;
 use crate::attempt::Unsent;
 use crate::body::BodyLimits;
-use crate::caller::{Answer, caller};
+use crate::caller::{Answer, caller_channel};
 use crate::claims::ClaimBook;
 use crate::config::Config;
 use crate::containment::SpreadCall;
@@ -184,25 +184,25 @@
         self.core.ledger.len()
     }
 
-    /// Returns the latest `most` suspicions, to be sent to the peers.
+    /// Returns the latest `max` suspicions, to be sent to the peers.
     #[must_use]
-    pub fn suspicions(&self, most: usize) -> Vec<Suspicion> {
+    pub fn suspicions(&self, max: usize) -> Vec<Suspicion> {
         let now = self.core.clock.now();
-        self.core.suspects().suspicions(now, most)
+        self.core.suspects().suspicions(now, max)
     }
 
     /// Merges suspicions received from peers.
-    pub fn learn(&self, told: Vec<Suspicion>) {
-        self.core.learn(told);
+    pub fn learn(&self, received: Vec<Suspicion>) {
+        self.core.learn(received);
     }
 
     /// Merges a peer's suspicion of one request and returns the merged state.
     #[must_use]
-    pub fn exchange(&self, told: Suspicion) -> Option<Suspicion> {
+    pub fn exchange(&self, received: Suspicion) -> Option<Suspicion> {
         let now = self.core.clock.now();
-        let request = told.fingerprint;
+        let request = received.fingerprint;
         let mut suspects = self.core.suspects();
-        suspects.merge(now, told);
+        suspects.merge(now, received);
         suspects.suspicion(now, request)
     }
 
@@ -220,7 +220,7 @@
     let unsent = Unsent::new(id);
     let answer = match admit(&core, id, request).await {
         Ok(call) => {
-            let (caller, answer) = caller(core.clone(), id, open);
+            let (caller, answer) = caller_channel(core.clone(), id, open);
             tokio::spawn(call.run(unsent, caller));
             answer.await
         }
