--- a/cornelstand/src/caller.rs
+++ b/cornelstand/src/caller.rs
@@ -1,4 +1,4 @@
-//! The caller's side of a running request: the head of the answer, its body and its end.
+//! The caller's side of a running request: head, body and end of the answer.
 
 use std::future::Future;
 use std::sync::Arc;
@@ -14,43 +14,43 @@
 use warp::reply::Response;
 
 use crate::attempt::{Answering, Verdict};
-use crate::entry_core::{Core, Open};
+use crate::entry_core::{Core, OpenRequest};
 use crate::headers::REQUEST_ID;
 use crate::name::RequestId;
 use crate::problem::{Problem, ProblemKind, id_value};
 use crate::timeline::Topic;
 
-/// Header that tells that an answer was recorded earlier.
+/// Header that marks a recorded answer to an earlier request.
 const REPLAYED: HeaderName = HeaderName::from_static("idempotent-replayed");
-/// Pieces of an answer on their way to the caller.
-const PIECES: usize = 4;
+/// Capacity of the channel of body chunks to the caller.
+const CHANNEL_CHUNKS: usize = 4;
 
-/// The answer ended before it was whole. It aborts the caller's stream, so that the answer cannot
-/// be taken for a complete one.
+/// The answer ended early. It aborts the caller's stream, so that the answer cannot be mistaken
+/// for a complete one.
 #[derive(Clone, Copy, Debug, Eq, PartialEq, Snafu)]
-#[snafu(display("the answer was cut"))]
-pub(crate) struct CutError;
+#[snafu(display("the answer was truncated"))]
+pub(crate) struct TruncatedError;
 
-/// The caller does not take the answer any more.
+/// The caller no longer takes the answer.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub(crate) struct Gone;
 
-type Piece = Result<Bytes, CutError>;
+type Chunk = Result<Bytes, TruncatedError>;
 
-/// What the handler of a request gives to the HTTP library.
+/// Answer that a request handler passes to the HTTP library.
 pub(crate) enum Answer {
-    /// It is here.
-    Short(http::Response<Vec<u8>>),
-    /// Its body comes.
-    Begun {
+    /// The whole answer is available.
+    Complete(http::Response<Vec<u8>>),
+    /// The body is streamed.
+    Streaming {
         status: StatusCode,
         headers: HeaderMap,
-        body: mpsc::Receiver<Piece>,
+        body: mpsc::Receiver<Chunk>,
     },
 }
 
 impl Answer {
-    /// Counts a refusal and makes the answer of it.
+    /// Counts a refusal and converts it to an answer.
     pub(crate) fn refused(core: &Core, request: RequestId, problem: &Problem) -> Self {
         let outcome = problem.verdict.outcome().to_string();
         let kind = problem.kind.to_string();
@@ -58,17 +58,17 @@
         core.metrics.refusals.with_label_values(&[&kind]).inc();
         core.timeline
             .record(Topic::Request, "refused", &kind, Some(request));
-        Self::Short(problem.answer(request))
+        Self::Complete(problem.answer(request))
     }
 
-    /// The answer to `request` for the HTTP library.
+    /// Converts the answer to `request` for the HTTP library.
     pub(crate) fn into_response(self, request: RequestId) -> Response {
         match self {
-            Self::Short(answer) => {
+            Self::Complete(answer) => {
                 let (parts, body) = answer.into_parts();
                 Response::from_parts(parts, body.into())
             }
-            Self::Begun {
+            Self::Streaming {
                 status,
                 headers,
                 body,
@@ -83,19 +83,19 @@
     }
 }
 
-/// A caller that waits for the head of the answer.
+/// A caller waiting for the head of the answer.
 pub(crate) struct Caller {
     core: Arc<Core>,
     request: RequestId,
     head: oneshot::Sender<Answer>,
-    open: Open,
+    open: OpenRequest,
 }
 
-/// The two ends of a request: for the task that carries it out, and for its handler.
-pub(crate) fn caller(
+/// Creates the two ends of a request: one for its task, one for its handler.
+pub(crate) fn caller_channel(
     core: Arc<Core>,
     request: RequestId,
-    open: Open,
+    open: OpenRequest,
 ) -> (Caller, impl Future<Output = Answer>) {
     let (head, answer) = oneshot::channel();
     let waiting = {
@@ -121,19 +121,19 @@
 }
 
 impl Caller {
-    /// Waits until the caller has gone away.
+    /// Waits until the caller disconnects.
     pub(crate) async fn gone(&mut self) {
         self.head.closed().await;
     }
 
-    /// Gives the final answer: none.
-    pub(crate) fn refuse(self, problem: &Problem) -> Open {
+    /// Sends a refusal as the final answer.
+    pub(crate) fn refuse(self, problem: &Problem) -> OpenRequest {
         let answer = Answer::refused(&self.core, self.request, problem);
         let _ = self.head.send(answer);
         self.open
     }
 
-    /// Gives an answer that was recorded earlier.
+    /// Sends a previously recorded answer.
     pub(crate) fn replay(self, status: u16, media: &str, body: &Bytes) {
         self.core.count("replayed");
         let mut answer = http::Response::new(body.to_vec());
@@ -146,77 +146,77 @@
         {
             headers.insert(CONTENT_TYPE, media);
         }
-        let _ = self.head.send(Answer::Short(answer));
+        let _ = self.head.send(Answer::Complete(answer));
     }
 
-    /// Counts that the caller went away.
-    pub(crate) fn leave(self) -> Open {
+    /// Counts that the caller disconnected.
+    pub(crate) fn abandon(self) -> OpenRequest {
         self.core.count("gone");
         self.open
     }
 
-    /// Gives the head of the answer of the attempt that is `answering`.
+    /// Sends the head of the answer to the attempt `answering`.
     pub(crate) fn begin(
         self,
         answering: Answering,
         status: StatusCode,
         headers: HeaderMap,
-    ) -> Reader {
-        let (pieces, body) = mpsc::channel(PIECES);
-        let answer = Answer::Begun {
+    ) -> BodyWriter {
+        let (chunks, body) = mpsc::channel(CHANNEL_CHUNKS);
+        let answer = Answer::Streaming {
             status,
             headers,
             body,
         };
         let _ = self.head.send(answer);
-        Reader {
+        BodyWriter {
             core: self.core,
             _answering: answering,
-            pieces,
+            chunks,
             open: self.open,
         }
     }
 }
 
-/// A caller that reads the body of the answer.
-pub(crate) struct Reader {
+/// Writes the body of the answer to the caller.
+pub(crate) struct BodyWriter {
     core: Arc<Core>,
     _answering: Answering,
-    pieces: mpsc::Sender<Piece>,
-    open: Open,
+    chunks: mpsc::Sender<Chunk>,
+    open: OpenRequest,
 }
 
-impl Reader {
-    /// Waits until the caller has gone away.
+impl BodyWriter {
+    /// Waits until the caller disconnects.
     pub(crate) async fn gone(&self) {
-        self.pieces.closed().await;
+        self.chunks.closed().await;
     }
 
-    /// Passes a piece on, when the caller has taken enough of the earlier ones.
-    pub(crate) async fn write(&self, piece: Bytes, idle: Duration) -> Result<(), Gone> {
-        if piece.is_empty() {
+    /// Writes a chunk once the caller has taken enough of the earlier ones.
+    pub(crate) async fn write(&self, chunk: Bytes, idle: Duration) -> Result<(), Gone> {
+        if chunk.is_empty() {
             return Ok(());
         }
-        let sent = self.pieces.send_timeout(Ok(piece), idle).await;
+        let sent = self.chunks.send_timeout(Ok(chunk), idle).await;
         sent.map_err(|_| Gone)
     }
 
-    /// Ends a whole answer.
-    pub(crate) fn finish(self) -> Open {
+    /// Ends a complete answer.
+    pub(crate) fn finish(self) -> OpenRequest {
         self.core.count("answered");
         self.open
     }
 
-    /// Ends an answer that is not whole, so that the caller sees it.
-    pub(crate) async fn cut(self, idle: Duration) -> Open {
+    /// Aborts an incomplete answer, so that the caller sees an error.
+    pub(crate) async fn abort(self, idle: Duration) -> OpenRequest {
         self.core.count("cut");
-        let _ = self.pieces.send_timeout(Err(CutError), idle).await;
+        let _ = self.chunks.send_timeout(Err(TruncatedError), idle).await;
         self.open
     }
 
-    /// Ends an answer that the caller does not take.
-    pub(crate) async fn leave(self, idle: Duration) {
+    /// Ends an answer that the caller no longer takes.
+    pub(crate) async fn abandon(self, idle: Duration) {
         self.core.count("gone");
-        let _ = self.pieces.send_timeout(Err(CutError), idle).await;
+        let _ = self.chunks.send_timeout(Err(TruncatedError), idle).await;
     }
 }
--- a/cornelstand/src/head.rs
+++ b/cornelstand/src/head.rs
@@ -1,8 +1,8 @@
-//! The wait for the head of an endpoint's answer.
+//! Waiting for the head of an endpoint's answer.
 //!
-//! A model engine can be asked on a new connection whether it knows a stream. That tells a
-//! connection that is silent for good from an engine that takes its time, long before the
-//! deadline, and picks the stream up without a second run.
+//! A model engine can be asked for a stream on a new connection. That distinguishes a dead
+//! connection from a slow engine long before the deadline, and resumes the stream without running
+//! the request twice.
 
 use std::time::Duration;
 
@@ -15,19 +15,19 @@
 use crate::call::Call;
 use crate::config::Kind;
 use crate::relay::{Origin, Resumed};
-use crate::upstream::Upcall;
+use crate::upstream::EndpointRequest;
 
-/// Why there is no head.
+/// Why no head was received.
 pub(crate) enum HeadError {
-    /// No connection was made.
+    /// No connection was established.
     Unconnected(ConnectError),
     /// The request may have been sent.
     Lost(Loss),
 }
 
-/// The part of a chat completion's body that tells how it is answered.
+/// The part of a chat completion request that selects streaming.
 #[derive(Deserialize)]
-struct ChatForm {
+struct ChatRequest {
     #[serde(default)]
     stream: bool,
 }
@@ -36,28 +36,28 @@
     /// Sends a request and waits for the head of the answer.
     pub(crate) async fn head(
         &self,
-        upcall: Upcall,
+        request: EndpointRequest,
         origin: &Origin,
         wait: Duration,
     ) -> Result<Response, HeadError> {
-        let until = Instant::now() + wait;
-        let loss = match self.first_head(upcall, origin, until).await {
+        let deadline = Instant::now() + wait;
+        let loss = match self.initial_head(request, origin, deadline).await {
             Err(HeadError::Lost(loss)) if self.is_resumable() => loss,
             other => return other,
         };
         match origin.resume(0).await {
-            Resumed::Stream(answer) => Ok(self.picked_up(answer, origin)),
+            Resumed::Stream(answer) => Ok(self.resumed(answer, origin)),
             Resumed::Unknown | Resumed::Down | Resumed::Failed => Err(HeadError::Lost(loss)),
         }
     }
 
-    async fn first_head(
+    async fn initial_head(
         &self,
-        upcall: Upcall,
+        request: EndpointRequest,
         origin: &Origin,
-        until: Instant,
+        deadline: Instant,
     ) -> Result<Response, HeadError> {
-        let send = timeout_at(until, self.core.upstreams.send(upcall));
+        let send = timeout_at(deadline, self.core.upstreams.send(request));
         let mut send = std::pin::pin!(send);
         if self.kind == Kind::Model {
             tokio::select! {
@@ -66,7 +66,7 @@
             }
             match origin.resume(0).await {
                 Resumed::Stream(answer) if self.is_resumable() => {
-                    return Ok(self.picked_up(answer, origin));
+                    return Ok(self.resumed(answer, origin));
                 }
                 Resumed::Unknown => return Err(HeadError::Lost(Loss::Silent)),
                 Resumed::Stream(_) | Resumed::Down | Resumed::Failed => {}
@@ -75,19 +75,19 @@
         head_of(send.await)
     }
 
-    /// The engine has the stream, and the connection that it was asked on did not bring it.
-    fn picked_up(&self, answer: Response, origin: &Origin) -> Response {
+    /// Replaces the pool, since the engine has the stream but its connection did not deliver it.
+    fn resumed(&self, answer: Response, origin: &Origin) -> Response {
         self.core.replace_pool(origin.address);
         answer
     }
 
-    /// Tells whether the answer is a stream that the engine can give again.
+    /// Returns whether the answer is a stream that the engine can resume.
     fn is_resumable(&self) -> bool {
-        let CallBody::Whole(body) = &self.body else {
+        let CallBody::Buffered(body) = &self.body else {
             return false;
         };
-        let form = serde_json::from_slice::<ChatForm>(body);
-        self.kind == Kind::Model && form.is_ok_and(|f| f.stream)
+        let request = serde_json::from_slice::<ChatRequest>(body);
+        self.kind == Kind::Model && request.is_ok_and(|f| f.stream)
     }
 }
 
--- a/cornelstand/src/headers.rs
+++ b/cornelstand/src/headers.rs
@@ -1,7 +1,7 @@
-//! What a caller says about a request in its headers.
+//! Request headers: parsing of the caller's options and forwarding.
 //!
-//! Every value is bounded and checked before anything is done with the request. Hop-by-hop
-//! headers end here, as do those that are meant for the fleet alone.
+//! Every value is bounded and validated before the request is processed. Hop-by-hop headers and
+//! those meant only for the fleet are not forwarded.
 
 use std::time::Duration;
 
@@ -20,84 +20,84 @@
 pub(crate) const ENDPOINT_BOOT: HeaderName = HeaderName::from_static("x-endpoint-boot");
 const IDEMPOTENCY_KEY: HeaderName = HeaderName::from_static("idempotency-key");
 const COST_HINT: HeaderName = HeaderName::from_static("x-cost-hint");
-/// Header with the time left until the answer has to begin.
+/// Header with the time left until the answer is due to begin.
 pub(crate) const DEADLINE_MS: HeaderName = HeaderName::from_static("x-deadline-ms");
 const KEEP_ALIVE: HeaderName = HeaderName::from_static("keep-alive");
 const PROXY_CONNECTION: HeaderName = HeaderName::from_static("proxy-connection");
 
-/// Longest idempotency key, in bytes.
+/// Maximum length of an idempotency key in bytes.
 pub const IDEMPOTENCY_KEY_BYTES: usize = 128;
-/// Longest account key, in bytes.
+/// Maximum length of an account key in bytes.
 pub const ACCOUNT_KEY_BYTES: usize = 256;
 /// Largest cost hint, in the unit of the service's kind.
 pub const MAX_HINT: u64 = 10_000_000;
-/// Longest deadline.
+/// Maximum deadline.
 pub const MAX_DEADLINE: Duration = Duration::from_hours(24);
 
 /// Error in a caller's headers.
 #[derive(Debug, Eq, PartialEq, Snafu)]
 #[snafu(visibility(pub(crate)))]
 pub enum HeaderError {
-    /// A header that may stand once stands more than once.
+    /// A single-valued header is given more than once.
     #[snafu(display("{name} is given more than once"))]
-    Twice {
+    Duplicate {
         /// The header.
         name: HeaderName,
     },
-    /// A value has other characters than visible ASCII.
+    /// A value has characters other than visible ASCII.
     #[snafu(display("{name} has characters other than visible ASCII"))]
-    Characters {
+    InvalidCharacters {
         /// The header.
         name: HeaderName,
     },
     /// A value is empty or too long.
-    #[snafu(display("{name} has {bytes} bytes, not 1 to {most}"))]
+    #[snafu(display("{name} has {bytes} bytes, not 1 to {max}"))]
     Length {
         /// The header.
         name: HeaderName,
-        /// Bytes given.
+        /// Length in bytes.
         bytes: usize,
-        /// Most bytes allowed.
-        most: usize,
+        /// Maximum length in bytes.
+        max: usize,
     },
-    /// A value is no number in its range.
-    #[snafu(display("{name} is no whole number from 1 to {most}"))]
+    /// A value is not a number within its range.
+    #[snafu(display("{name} is no whole number from 1 to {max}"))]
     Number {
         /// The header.
         name: HeaderName,
-        /// Largest number allowed.
-        most: u64,
+        /// Maximum value.
+        max: u64,
     },
-    /// The scheme of the authorization is another one.
+    /// The authorization does not use the Bearer scheme.
     #[snafu(display("authorization is not of the form \"Bearer KEY\""))]
     Scheme,
 }
 
-/// What a caller says about a request.
+/// Request options given in the headers.
 #[derive(Clone, Debug, Default, Eq, PartialEq)]
 pub struct Wishes {
-    /// Key by which a repetition is recognised.
+    /// Idempotency key, which identifies a repeated request.
     pub key: Option<String>,
     /// Expected cost, in the unit of the service's kind.
     pub hint: Option<u64>,
-    /// Longest time until the answer begins.
+    /// Maximum time until the answer begins.
     pub deadline: Option<Duration>,
 }
 
 impl Wishes {
-    /// Reads the wishes from `headers`.
+    /// Parses the options in `headers`.
     ///
     /// # Errors
     ///
-    /// A [`HeaderError`] that names the first header with a fault.
+    /// A [`HeaderError`] that names the first invalid header.
     pub fn parse(headers: &HeaderMap) -> Result<Self, HeaderError> {
-        let key = single(headers, IDEMPOTENCY_KEY)?
-            .map(|v| visible(IDEMPOTENCY_KEY, v, IDEMPOTENCY_KEY_BYTES))
+        let key = single_value(headers, IDEMPOTENCY_KEY)?
+            .map(|v| visible_ascii(IDEMPOTENCY_KEY, v, IDEMPOTENCY_KEY_BYTES))
             .transpose()?
             .map(str::to_owned);
         let hint = number(headers, COST_HINT, MAX_HINT)?;
-        let most = u64::try_from(MAX_DEADLINE.as_millis()).unwrap_or(u64::MAX);
-        let deadline = number(headers, DEADLINE_MS, most)?.map(Duration::from_millis);
+        let max = u64::try_from(MAX_DEADLINE.as_millis()).unwrap_or(u64::MAX);
+        let deadline = number(headers, DEADLINE_MS, max)?.map(Duration::from_millis);
         Ok(Self {
             key,
             hint,
@@ -106,36 +106,36 @@
     }
 }
 
-/// The account's key in `headers`, `None` if there is no authorization.
+/// Returns the account key in `headers`, or `None` without an authorization header.
 ///
 /// # Errors
 ///
-/// A [`HeaderError`] if there is one of another form.
+/// A [`HeaderError`] if the authorization header is malformed.
 pub fn bearer_key(headers: &HeaderMap) -> Result<Option<&str>, HeaderError> {
-    let Some(value) = single(headers, AUTHORIZATION)? else {
+    let Some(value) = single_value(headers, AUTHORIZATION)? else {
         return Ok(None);
     };
     let text = value.to_str().ok().context(SchemeSnafu)?;
     let (scheme, key) = text.split_once(' ').context(SchemeSnafu)?;
     ensure!(scheme.eq_ignore_ascii_case("bearer"), SchemeSnafu);
-    checked(AUTHORIZATION, key.trim(), ACCOUNT_KEY_BYTES).map(Some)
+    check_value(AUTHORIZATION, key.trim(), ACCOUNT_KEY_BYTES).map(Some)
 }
 
-/// The headers of a request or answer that go on to the other side.
+/// Returns the end-to-end headers of a request or answer.
 pub(crate) fn forwarded(headers: &HeaderMap) -> HeaderMap {
-    let named = connection_options(headers);
+    let connection_headers = connection_options(headers);
     headers
         .iter()
-        .filter(|(name, _)| !is_hop(name) && !named.contains(name))
+        .filter(|(name, _)| !is_hop_by_hop(name) && !connection_headers.contains(name))
         .map(|(name, value)| (name.clone(), value.clone()))
         .collect()
 }
 
-/// The headers of a caller's request that go on to the endpoint.
+/// Returns the headers of a caller's request that are forwarded to the endpoint.
 pub(crate) fn for_endpoint(headers: &HeaderMap, kind: Kind) -> HeaderMap {
     let mut kept = forwarded(headers);
     if kind == Kind::Model {
-        // A compressed stream of events could not be read for its end.
+        // The end of a compressed event stream could not be detected.
         kept.remove(ACCEPT_ENCODING);
     }
     for name in [
@@ -161,7 +161,7 @@
         .collect()
 }
 
-fn is_hop(name: &HeaderName) -> bool {
+fn is_hop_by_hop(name: &HeaderName) -> bool {
     [
         CONNECTION,
         KEEP_ALIVE,
@@ -176,43 +176,43 @@
     .contains(name)
 }
 
-fn single(headers: &HeaderMap, name: HeaderName) -> Result<Option<&HeaderValue>, HeaderError> {
+fn single_value(
+    headers: &HeaderMap,
+    name: HeaderName,
+) -> Result<Option<&HeaderValue>, HeaderError> {
     let mut values = headers.get_all(&name).iter();
     let first = values.next();
-    ensure!(values.next().is_none(), TwiceSnafu { name });
+    ensure!(values.next().is_none(), DuplicateSnafu { name });
     Ok(first)
 }
 
-fn visible(name: HeaderName, value: &HeaderValue, most: usize) -> Result<&str, HeaderError> {
+fn visible_ascii(name: HeaderName, value: &HeaderValue, max: usize) -> Result<&str, HeaderError> {
     let text = value
         .to_str()
         .ok()
-        .context(CharactersSnafu { name: name.clone() })?;
-    checked(name, text, most)
+        .context(InvalidCharactersSnafu { name: name.clone() })?;
+    check_value(name, text, max)
 }
 
-fn checked(name: HeaderName, text: &str, most: usize) -> Result<&str, HeaderError> {
+fn check_value(name: HeaderName, text: &str, max: usize) -> Result<&str, HeaderError> {
     let bytes = text.len();
-    ensure!(
-        (1..=most).contains(&bytes),
-        LengthSnafu { name, bytes, most }
-    );
-    let all = text.bytes().all(|b| b.is_ascii_graphic());
-    ensure!(all, CharactersSnafu { name });
+    ensure!((1..=max).contains(&bytes), LengthSnafu { name, bytes, max });
+    let is_visible = text.bytes().all(|b| b.is_ascii_graphic());
+    ensure!(is_visible, InvalidCharactersSnafu { name });
     Ok(text)
 }
 
-fn number(headers: &HeaderMap, name: HeaderName, most: u64) -> Result<Option<u64>, HeaderError> {
-    let Some(value) = single(headers, name.clone())? else {
+fn number(headers: &HeaderMap, name: HeaderName, max: u64) -> Result<Option<u64>, HeaderError> {
+    let Some(value) = single_value(headers, name.clone())? else {
         return Ok(None);
     };
-    let digits = value.as_bytes().iter().all(u8::is_ascii_digit);
+    let is_numeric = value.as_bytes().iter().all(u8::is_ascii_digit);
     value
         .to_str()
         .ok()
-        .filter(|_| digits)
+        .filter(|_| is_numeric)
         .and_then(|text| text.parse().ok())
-        .filter(|number| (1..=most).contains(number))
-        .context(NumberSnafu { name, most })
+        .filter(|number| (1..=max).contains(number))
+        .context(NumberSnafu { name, max })
         .map(Some)
 }
--- a/cornelstand/src/listener.rs
+++ b/cornelstand/src/listener.rs
@@ -1,10 +1,9 @@
 //! HTTP server for callers' connections.
 //!
-//! `warp::serve` sets no deadline for request headers and no limit on connections, and its
-//! acceptor cannot be replaced. Connections are therefore served by the HTTP library that warp is
-//! built on and re-exports, which closes a connection that does not send the whole header in time:
-//! a half-open one that sends nothing, and an unused one between two requests. A closed connection
-//! leaves room for the next one.
+//! `warp::serve` has no timeout for request headers and no connection limit, and its acceptor
+//! cannot be replaced. Connections are therefore served with hyper, which warp is built on and
+//! re-exports. It closes a connection that does not send a complete header in time, be it half-open
+//! or idle between two requests, which frees its slot for another connection.
 
 use std::convert::Infallible;
 use std::future::Future;
@@ -24,25 +23,25 @@
 use warp::hyper::service::service_fn;
 use warp::reply::Response;
 
-/// Pause after an error of accepting that is not the connection's own.
-const ACCEPT_PAUSE: Duration = Duration::from_millis(100);
-/// Bytes read from a connection at once.
+/// Pause after a failed accept.
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(100);
+/// Maximum bytes per read from a connection.
 const READ_BYTES: usize = 16 * 1024;
-/// Most headers of a request.
+/// Maximum number of headers of a request.
 const MAX_HEADERS: usize = 100;
 
-/// Limits of callers' connections.
+/// Limits on caller connections.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct ConnectionLimits {
-    /// Longest time until a request's header is complete.
+    /// Maximum time until a request's header is complete.
     pub(crate) header: Duration,
-    /// Most bytes of a request's header.
+    /// Maximum size of a request's header in bytes.
     pub(crate) bytes: usize,
-    /// Most connections.
+    /// Maximum number of connections.
     pub(crate) count: usize,
 }
 
-/// Serves requests with `handle` until `shutdown`, then ends the open exchanges.
+/// Serves requests with `handle` until `shutdown`, then completes the open exchanges.
 pub(crate) async fn serve<H, F>(
     listener: TcpListener,
     limits: ConnectionLimits,
@@ -53,13 +52,13 @@
     H: Fn(http::Request<Incoming>) -> F + Clone + Send + Sync + 'static,
     F: Future<Output = Response> + Send + 'static,
 {
-    let room = Arc::new(Semaphore::new(limits.count));
+    let slots = Arc::new(Semaphore::new(limits.count));
     let (stop, stopped) = watch::channel(false);
     let tasks = TaskTracker::new();
     let mut shutdown = std::pin::pin!(shutdown);
     loop {
         let next = async {
-            let permit = room.clone().acquire_owned().await;
+            let permit = slots.clone().acquire_owned().await;
             (accept(&listener).await, permit)
         };
         let (stream, permit) = tokio::select! {
@@ -85,7 +84,7 @@
     loop {
         match listener.accept().await {
             Ok((stream, _)) => return stream,
-            Err(_) => tokio::time::sleep(ACCEPT_PAUSE).await,
+            Err(_) => tokio::time::sleep(ACCEPT_RETRY_DELAY).await,
         }
     }
 }
@@ -110,7 +109,7 @@
             .header_read_timeout(limits.header)
             .max_headers(MAX_HEADERS)
             .max_header_size(limits.bytes)
-            .serve_connection(Io(stream), service)
+            .serve_connection(TokioIo(stream), service)
     );
     let stopping = stopped.wait_for(|&stop| stop);
     tokio::select! {
@@ -120,26 +119,26 @@
     let _ = connection.await;
 }
 
-/// Tokio's TCP stream as the HTTP library reads and writes it.
+/// Adapts Tokio's TCP stream to hyper's I/O traits.
 #[derive(Debug)]
-struct Io(TcpStream);
+struct TokioIo(TcpStream);
 
-impl Read for Io {
+impl Read for TokioIo {
     fn poll_read(
         mut self: Pin<&mut Self>,
         cx: &mut Context<'_>,
         mut cursor: ReadBufCursor<'_>,
     ) -> Poll<std::io::Result<()>> {
         let mut bytes = [0; READ_BYTES];
-        let most = cursor.remaining().min(READ_BYTES);
-        let mut buffer = ReadBuf::new(&mut bytes[..most]);
+        let max = cursor.remaining().min(READ_BYTES);
+        let mut buffer = ReadBuf::new(&mut bytes[..max]);
         ready!(Pin::new(&mut self.0).poll_read(cx, &mut buffer))?;
         cursor.put_slice(buffer.filled());
         Poll::Ready(Ok(()))
     }
 }
 
-impl Write for Io {
+impl Write for TokioIo {
     fn poll_write(
         mut self: Pin<&mut Self>,
         cx: &mut Context<'_>,
@@ -169,7 +168,7 @@
     }
 }
 
-/// Tokio's timers for the HTTP library.
+/// Adapts Tokio's timers to hyper's timer trait.
 #[derive(Clone, Copy, Debug)]
 struct TokioTimer;
 
--- a/cornelstand/src/path.rs
+++ b/cornelstand/src/path.rs
@@ -1,8 +1,8 @@
-//! Paths of callers' requests.
+//! Request paths.
 //!
-//! The rule of a call goes by its path, and the endpoint gets the path as the caller wrote it. So
-//! that both mean the same call, the rule is looked up for the decoded path, and a path that an
-//! endpoint may take for another one is refused.
+//! The route of a request is selected by its path, and the endpoint receives the path as the caller
+//! sent it. To keep both consistent, the route is looked up by the decoded path, and a path that
+//! an endpoint may interpret differently is refused.
 
 use snafu::{Snafu, ensure};
 
@@ -12,7 +12,7 @@
     /// The path has a segment `.` or `..`.
     #[snafu(display("the path has a dot segment"))]
     DotSegment,
-    /// The path has a character that ends a segment in some implementations only.
+    /// The path has a character that only some implementations treat as a separator.
     #[snafu(display("the path has a backslash, an encoded slash or a control character"))]
     Ambiguous,
     /// A percent sign is not followed by two hexadecimal digits.
@@ -25,9 +25,9 @@
 pub struct CallPath<'a> {
     /// Name of the service.
     pub service: &'a str,
-    /// The rest as the caller wrote it, beginning with a slash.
+    /// The rest as sent by the caller, beginning with a slash.
     pub raw: &'a str,
-    /// The rest for the lookup of rules: decoded and without repeated slashes.
+    /// The rest for route lookup: decoded and without repeated slashes.
     pub plain: String,
 }
 
@@ -35,13 +35,13 @@
 ///
 /// # Errors
 ///
-/// [`PathError`] if an endpoint may take the path for another one.
+/// [`PathError`] if an endpoint may interpret the path differently.
 pub fn split_path(path: &str) -> Result<CallPath<'_>, PathError> {
     let rest = path.strip_prefix('/').unwrap_or(path);
     let slash = rest.find('/').unwrap_or(rest.len());
     let (service, raw) = rest.split_at(slash);
     let raw = if raw.is_empty() { "/" } else { raw };
-    let plain = plain(raw)?;
+    let plain = normalize(raw)?;
     Ok(CallPath {
         service,
         raw,
@@ -49,8 +49,8 @@
     })
 }
 
-fn plain(raw: &str) -> Result<String, PathError> {
-    let decoded = decoded(raw.as_bytes())?;
+fn normalize(raw: &str) -> Result<String, PathError> {
+    let decoded = percent_decode(raw.as_bytes())?;
     let mut plain = String::with_capacity(decoded.len());
     let mut segments = decoded.split('/').peekable();
     while let Some(segment) = segments.next() {
@@ -64,31 +64,31 @@
     Ok(plain)
 }
 
-fn decoded(raw: &[u8]) -> Result<String, PathError> {
+fn percent_decode(raw: &[u8]) -> Result<String, PathError> {
     let mut bytes = Vec::with_capacity(raw.len());
-    let mut at = 0;
-    while at < raw.len() {
-        let (byte, next) = match raw[at] {
-            b'%' => (encoded(raw, at)?, at + 3),
-            byte => (byte, at + 1),
+    let mut index = 0;
+    while index < raw.len() {
+        let (byte, next) = match raw[index] {
+            b'%' => (decode_escape(raw, index)?, index + 3),
+            byte => (byte, index + 1),
         };
-        let slash = byte == b'/' && raw[at] == b'%';
-        let odd = slash || byte == b'\\' || byte.is_ascii_control();
-        ensure!(!odd, AmbiguousSnafu);
+        let is_escaped_slash = byte == b'/' && raw[index] == b'%';
+        let is_ambiguous = is_escaped_slash || byte == b'\\' || byte.is_ascii_control();
+        ensure!(!is_ambiguous, AmbiguousSnafu);
         bytes.push(byte);
-        at = next;
+        index = next;
     }
     Ok(String::from_utf8_lossy(&bytes).into_owned())
 }
 
-fn encoded(raw: &[u8], at: usize) -> Result<u8, PathError> {
+fn decode_escape(raw: &[u8], index: usize) -> Result<u8, PathError> {
     let digit = |place: usize| {
         let byte = raw.get(place).copied().unwrap_or_default();
         char::from(byte)
             .to_digit(16)
             .and_then(|d| u8::try_from(d).ok())
     };
-    match (digit(at + 1), digit(at + 2)) {
+    match (digit(index + 1), digit(index + 2)) {
         (Some(high), Some(low)) => Ok(high << 4 | low),
         _ => EncodingSnafu.fail(),
     }
--- a/cornelstand/src/relay.rs
+++ b/cornelstand/src/relay.rs
@@ -1,8 +1,8 @@
-//! Answers of endpoints, piece by piece, with their ends checked.
+//! Streaming of endpoints' answers, with detection of truncated ones.
 //!
-//! A [`Source`] gives pieces that can go to the caller and ends only when the answer is whole:
-//! server-sent events after their last event, other answers after their stated length or last
-//! chunk. A stream that is cut is resumed on a new connection after the last whole event.
+//! An [`AnswerBody`] yields bytes for the caller and ends only when complete: an event stream after
+//! its last event, another answer after its content-length or last chunk. A truncated event stream
+//! is resumed on a new connection after the last complete event.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -20,20 +20,20 @@
 use crate::sse::{self, Scanner};
 use crate::upstream::is_foreign;
 
-/// Most resumptions of a stream without a new event between them.
-const RESUMES: u32 = 3;
-/// Most bytes of a whole answer that are kept to find its usage.
+/// Maximum resumptions of a stream without a new event in between.
+const MAX_RESUMES: u32 = 3;
+/// Maximum bytes of a non-streamed answer kept to find its usage.
 const USAGE_BYTES: usize = 256 * 1024;
-/// Pause before a stream is asked for once more, growing with each time.
-const PAUSE: Duration = Duration::from_millis(100);
-/// Longest wait for an engine to take up a stream again.
-const RESUME: Duration = Duration::from_secs(2);
-/// Longest wait for the end of a stream after its last event.
-const TAIL: Duration = Duration::from_secs(1);
+/// Pause before another resumption, multiplied by the number of tries.
+const RESUME_BACKOFF: Duration = Duration::from_millis(100);
+/// Timeout for an engine to resume a stream.
+const RESUME_TIMEOUT: Duration = Duration::from_secs(2);
+/// Timeout for the end of a stream after its last event.
+const DRAIN_TIMEOUT: Duration = Duration::from_secs(1);
 
-type Bytestream = BoxStream<'static, reqwest::Result<Bytes>>;
+type ByteStream = BoxStream<'static, reqwest::Result<Bytes>>;
 
-/// Where an answer comes from.
+/// Endpoint and attempt that an answer comes from.
 #[derive(Clone)]
 pub(crate) struct Origin {
     pub(crate) core: Arc<Core>,
@@ -41,20 +41,26 @@
     pub(crate) attempt: AttemptId,
 }
 
-/// Form of an answer's body.
-enum Form {
-    Events { scanner: Scanner, resumes: u32 },
-    Whole { seen: Vec<u8>, watched: bool },
+/// Kind of an answer's body.
+enum BodyKind {
+    Events {
+        scanner: Scanner,
+        resumes: u32,
+    },
+    Whole {
+        collected: Vec<u8>,
+        is_collecting: bool,
+    },
 }
 
 /// Body of an answer.
-pub(crate) struct Source {
+pub(crate) struct AnswerBody {
     origin: Origin,
-    stream: Bytestream,
-    form: Form,
+    stream: ByteStream,
+    kind: BodyKind,
 }
 
-/// Tells whether an answer is a stream of server-sent events that can be read.
+/// Returns whether an answer is a readable stream of server-sent events.
 pub(crate) fn is_events(headers: &HeaderMap) -> bool {
     let is_typed = headers
         .get(CONTENT_TYPE)
@@ -63,69 +69,75 @@
     is_typed && !headers.contains_key(CONTENT_ENCODING)
 }
 
-/// Tells whether the end of an answer can be told from a cut.
-pub(crate) fn has_end(method: &Method, status: StatusCode, headers: &HeaderMap) -> bool {
+/// Returns whether the end of an answer can be distinguished from a truncation.
+pub(crate) fn is_delimited(method: &Method, status: StatusCode, headers: &HeaderMap) -> bool {
     let bodyless = method == Method::HEAD
         || status == StatusCode::NO_CONTENT
         || status == StatusCode::NOT_MODIFIED;
     bodyless || headers.contains_key(CONTENT_LENGTH) || headers.contains_key(TRANSFER_ENCODING)
 }
 
-impl Source {
-    /// The body of `answer`; `model` tells whether it may hold a usage figure.
+impl AnswerBody {
+    /// Wraps the body of `answer`; `model` tells whether it may contain token usage.
     pub(crate) fn new(origin: Origin, answer: Response, model: bool) -> Self {
-        let form = if model && is_events(answer.headers()) {
-            Form::Events {
+        let kind = if model && is_events(answer.headers()) {
+            BodyKind::Events {
                 scanner: Scanner::default(),
                 resumes: 0,
             }
         } else {
-            Form::Whole {
-                seen: Vec::new(),
-                watched: model,
+            BodyKind::Whole {
+                collected: Vec::new(),
+                is_collecting: model,
             }
         };
         Self {
             origin,
             stream: answer.bytes_stream().boxed(),
-            form,
+            kind,
         }
     }
 
-    /// The next piece for the caller, `None` after the end of a whole answer.
+    /// Returns the next bytes for the caller, `None` at the end of a complete answer.
     pub(crate) async fn next(&mut self, wait: Duration) -> Result<Option<Bytes>, Loss> {
-        match &mut self.form {
-            Form::Whole { seen, watched } => {
-                let piece = pull(&mut self.stream, wait).await?;
-                if let (true, Some(bytes)) = (*watched, &piece) {
-                    watch(seen, watched, bytes);
+        match &mut self.kind {
+            BodyKind::Whole {
+                collected,
+                is_collecting,
+            } => {
+                let bytes = next_bytes(&mut self.stream, wait).await?;
+                if let (true, Some(bytes)) = (*is_collecting, &bytes) {
+                    collect(collected, is_collecting, bytes);
                 }
-                Ok(piece)
+                Ok(bytes)
             }
-            Form::Events { .. } => self.next_events(wait).await,
+            BodyKind::Events { .. } => self.next_events(wait).await,
         }
     }
 
-    /// Cost in tokens so far, as far as the answer tells.
+    /// Returns the cost in tokens so far, if the answer reports it.
     pub(crate) fn tokens(&self) -> Option<u64> {
-        match &self.form {
-            Form::Events { scanner, .. } => Some(scanner.tokens().unwrap_or(scanner.chunks())),
-            Form::Whole { seen, watched } => watched.then(|| sse::usage(seen)).flatten(),
+        match &self.kind {
+            BodyKind::Events { scanner, .. } => Some(scanner.tokens().unwrap_or(scanner.chunks())),
+            BodyKind::Whole {
+                collected,
+                is_collecting,
+            } => is_collecting.then(|| sse::usage(collected)).flatten(),
         }
     }
 
     async fn next_events(&mut self, wait: Duration) -> Result<Option<Bytes>, Loss> {
         loop {
-            match self.pull_events(wait).await {
+            match self.read_events(wait).await {
                 Err(loss) => self.resume(loss).await?,
                 events => return events,
             }
         }
     }
 
-    /// The next whole events of the present stream.
-    async fn pull_events(&mut self, wait: Duration) -> Result<Option<Bytes>, Loss> {
-        let Form::Events { scanner, resumes } = &mut self.form else {
+    /// Returns the next complete events of the current stream.
+    async fn read_events(&mut self, wait: Duration) -> Result<Option<Bytes>, Loss> {
+        let BodyKind::Events { scanner, resumes } = &mut self.kind else {
             return Ok(None);
         };
         if scanner.is_done() {
@@ -133,7 +145,9 @@
             return Ok(None);
         }
         loop {
-            let bytes = pull(&mut self.stream, wait).await?.ok_or(Loss::Broken)?;
+            let bytes = next_bytes(&mut self.stream, wait)
+                .await?
+                .ok_or(Loss::Broken)?;
             let events = scanner.push(&bytes).map_err(|_| Loss::Broken)?;
             if !events.is_empty() {
                 *resumes = 0;
@@ -142,16 +156,16 @@
         }
     }
 
-    /// Takes the stream up again after its last whole event.
+    /// Resumes the stream after its last complete event.
     async fn resume(&mut self, loss: Loss) -> Result<(), Loss> {
-        let Form::Events { scanner, resumes } = &mut self.form else {
+        let BodyKind::Events { scanner, resumes } = &mut self.kind else {
             return Err(loss);
         };
         scanner.rewind();
         if loss.is_silent() {
             self.origin.core.replace_pool(self.origin.address);
         }
-        while *resumes < RESUMES {
+        while *resumes < MAX_RESUMES {
             *resumes += 1;
             match self.origin.resume(scanner.chunks()).await {
                 Resumed::Stream(answer) => {
@@ -159,31 +173,31 @@
                     return Ok(());
                 }
                 Resumed::Unknown | Resumed::Down => return Err(loss),
-                Resumed::Failed => tokio::time::sleep(PAUSE * *resumes).await,
+                Resumed::Failed => tokio::time::sleep(RESUME_BACKOFF * *resumes).await,
             }
         }
         Err(loss)
     }
 }
 
-/// What an engine says about a stream.
+/// Result of asking an engine to resume a stream.
 pub(crate) enum Resumed {
-    /// It gives the rest.
+    /// The engine sends the rest of the stream.
     Stream(Response),
-    /// It does not know the stream.
+    /// The engine does not know the stream.
     Unknown,
-    /// It refuses connections.
+    /// The engine refuses connections.
     Down,
-    /// It cannot be asked.
+    /// The engine did not give a usable answer.
     Failed,
 }
 
 impl Origin {
-    /// Asks on a new connection for the rest of the stream after `chunks` of it.
+    /// Requests the rest of the stream after `chunks` chunks on a new connection.
     pub(crate) async fn resume(&self, chunks: u64) -> Resumed {
         let upstreams = &self.core.upstreams;
         let request = upstreams.resume(self.address, self.attempt, chunks);
-        let resumed = match tokio::time::timeout(RESUME, request).await {
+        let resumed = match tokio::time::timeout(RESUME_TIMEOUT, request).await {
             Ok(Ok(answer)) => self.resumed(answer),
             Ok(Err(error)) if error.is_connect() && !error.is_timeout() => Resumed::Down,
             Ok(Err(_)) | Err(_) => Resumed::Failed,
@@ -209,7 +223,7 @@
     }
 }
 
-async fn pull(stream: &mut Bytestream, wait: Duration) -> Result<Option<Bytes>, Loss> {
+async fn next_bytes(stream: &mut ByteStream, wait: Duration) -> Result<Option<Bytes>, Loss> {
     match tokio::time::timeout(wait, stream.next()).await {
         Ok(Some(Ok(bytes))) => Ok(Some(bytes)),
         Ok(Some(Err(_))) => Err(Loss::Broken),
@@ -218,17 +232,17 @@
     }
 }
 
-/// Reads the end of a stream, so that its connection can be used again.
-async fn drain(stream: &mut Bytestream) {
+/// Reads a stream to its end, so that its connection can be reused.
+async fn drain(stream: &mut ByteStream) {
     let end = async { while let Some(Ok(_)) = stream.next().await {} };
-    let _ = tokio::time::timeout(TAIL, end).await;
+    let _ = tokio::time::timeout(DRAIN_TIMEOUT, end).await;
 }
 
-fn watch(seen: &mut Vec<u8>, watched: &mut bool, bytes: &[u8]) {
-    if seen.len() + bytes.len() > USAGE_BYTES {
-        *watched = false;
-        *seen = Vec::new();
+fn collect(collected: &mut Vec<u8>, is_collecting: &mut bool, bytes: &[u8]) {
+    if collected.len() + bytes.len() > USAGE_BYTES {
+        *is_collecting = false;
+        *collected = Vec::new();
         return;
     }
-    seen.extend_from_slice(bytes);
+    collected.extend_from_slice(bytes);
 }
--- a/cornelstand/src/upstream.rs
+++ b/cornelstand/src/upstream.rs
@@ -1,10 +1,10 @@
 //! Connections to endpoints.
 //!
-//! Each endpoint address has an HTTP client with a pool of its own. When a connection of the pool
-//! has gone silent, the whole client is replaced, since what has lost track of one connection has
-//! probably lost track of its neighbours: later requests open new ones, and streams that still
-//! run keep the old client. A request that may not be repeated gets a new connection of its own:
-//! its round trip costs less than an unknown outcome from a pooled connection that was dead.
+//! Each endpoint address has an HTTP client with its own connection pool. When a pooled connection
+//! goes silent, the whole client is replaced, since whatever dropped the state of one connection
+//! has probably dropped that of the others too: later requests open new connections, and running
+//! streams keep the old client. A request that may not be repeated uses a new connection: the extra
+//! round trip costs less than an unknown outcome from a dead pooled connection.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -18,29 +18,29 @@
 use crate::headers::{ENDPOINT_BOOT, REQUEST_ID};
 use crate::name::{AttemptId, BootId};
 
-/// Longest time to open a connection.
-const CONNECT: Duration = Duration::from_secs(2);
-/// Time after which an unused connection is closed.
-const POOL_IDLE: Duration = Duration::from_secs(20);
-/// Time between probes of a quiet connection.
-const PROBE: Duration = Duration::from_secs(5);
-/// Unanswered probes after which a connection is broken.
-const PROBES: u32 = 2;
-/// Longest time that sent bytes may stay unacknowledged.
-const UNACKNOWLEDGED: Duration = Duration::from_secs(10);
-/// Longest time of a cancellation.
-const CANCEL: Duration = Duration::from_secs(5);
+/// Timeout for opening a connection.
+const CONNECT_TIMEOUT: Duration = Duration::from_secs(2);
+/// Time after which an idle pooled connection is closed.
+const POOL_IDLE_TIMEOUT: Duration = Duration::from_secs(20);
+/// Interval of TCP keepalive probes.
+const KEEPALIVE_INTERVAL: Duration = Duration::from_secs(5);
+/// Unanswered keepalive probes after which a connection is closed.
+const KEEPALIVE_PROBES: u32 = 2;
+/// Maximum time that sent bytes may stay unacknowledged.
+const TCP_USER_TIMEOUT: Duration = Duration::from_secs(10);
+/// Timeout for cancelling a stream.
+const CANCEL_TIMEOUT: Duration = Duration::from_secs(5);
 
 /// HTTP clients of all endpoints.
 #[derive(Debug)]
 pub(crate) struct Upstreams {
     pools: Mutex<HashMap<SocketAddr, Client>>,
-    single: Client,
+    unpooled: Client,
 }
 
 /// A request to an endpoint.
 #[derive(Debug)]
-pub(crate) struct Upcall {
+pub(crate) struct EndpointRequest {
     pub(crate) address: SocketAddr,
     pub(crate) attempt: AttemptId,
     pub(crate) method: Method,
@@ -55,29 +55,30 @@
     pub(crate) fn new() -> Self {
         Self {
             pools: Mutex::default(),
-            single: client(0),
+            unpooled: client(0),
         }
     }
 
     /// Sends a request and waits for the head of the answer.
-    pub(crate) async fn send(&self, call: Upcall) -> Result<Response, reqwest::Error> {
-        let http = match call.repeat {
-            Repeat::Idempotent => self.pool(call.address),
-            Repeat::Once => self.single.clone(),
+    pub(crate) async fn send(&self, request: EndpointRequest) -> Result<Response, reqwest::Error> {
+        let client = match request.repeat {
+            Repeat::Idempotent => self.pool(request.address),
+            Repeat::Once => self.unpooled.clone(),
         };
-        let mut headers = call.headers;
-        headers.insert(REQUEST_ID, attempt_value(call.attempt));
-        http.request(
-            call.method,
-            format!("http://{}{}", call.address, call.target),
-        )
-        .headers(headers)
-        .body(call.body)
-        .send()
-        .await
+        let mut headers = request.headers;
+        headers.insert(REQUEST_ID, attempt_value(request.attempt));
+        client
+            .request(
+                request.method,
+                format!("http://{}{}", request.address, request.target),
+            )
+            .headers(headers)
+            .body(request.body)
+            .send()
+            .await
     }
 
-    /// Asks on a new connection for the rest of a stream after `chunks` of it.
+    /// Requests the rest of a stream after `chunks` chunks on a new connection.
     pub(crate) async fn resume(
         &self,
         address: SocketAddr,
@@ -86,33 +87,33 @@
     ) -> Result<Response, reqwest::Error> {
         let stream = attempt_text(attempt);
         let url = format!("http://{address}/streams/{stream}?after={chunks}");
-        let request = self.single.get(url);
+        let request = self.unpooled.get(url);
         request
             .header(REQUEST_ID, attempt_value(attempt))
             .send()
             .await
     }
 
-    /// Tells an endpoint that nobody waits for a stream any more.
+    /// Cancels a stream at an endpoint; returns whether the endpoint confirmed it.
     pub(crate) async fn cancel(&self, address: SocketAddr, attempt: AttemptId) -> bool {
         let stream = attempt_text(attempt);
         let url = format!("http://{address}/streams/{stream}/cancel");
-        let answer = self.single.post(url).timeout(CANCEL).send().await;
+        let answer = self.unpooled.post(url).timeout(CANCEL_TIMEOUT).send().await;
         answer.is_ok_and(|a| a.status().is_success())
     }
 
-    /// Asks an endpoint on a new connection which boot identity it has.
+    /// Queries the boot identity of an endpoint on a new connection.
     pub(crate) async fn boot(&self, address: SocketAddr) -> Result<Option<BootId>, reqwest::Error> {
-        let answer = self.single.get(format!("http://{address}/load")).send();
+        let answer = self.unpooled.get(format!("http://{address}/load")).send();
         Ok(boot_of(answer.await?.headers()))
     }
 
-    /// Replaces the pool of `address`.
+    /// Drops the pool of `address`; the next request creates a new one.
     pub(crate) fn replace(&self, address: SocketAddr) {
         self.lock().remove(&address);
     }
 
-    /// Forgets the pools of addresses for which `keep` is false.
+    /// Drops the pools of addresses for which `keep` returns false.
     pub(crate) fn retain(&self, keep: impl Fn(SocketAddr) -> bool) {
         self.lock().retain(|&address, _| keep(address));
     }
@@ -129,18 +130,18 @@
     }
 }
 
-/// Identity of an attempt in headers and paths.
+/// Formats the identity of an attempt for headers and paths.
 pub(crate) fn attempt_text(attempt: AttemptId) -> String {
     format!("{}-{}", attempt.request, attempt.number)
 }
 
-/// Boot identity that an endpoint shows.
+/// Returns the boot identity in an endpoint's answer.
 pub(crate) fn boot_of(headers: &HeaderMap) -> Option<BootId> {
     let text = headers.get(ENDPOINT_BOOT)?.to_str().ok()?;
     text.parse().ok().map(BootId)
 }
 
-/// Tells whether an answer names another attempt than `attempt`.
+/// Returns whether an answer belongs to an attempt other than `attempt`.
 pub(crate) fn is_foreign(headers: &HeaderMap, attempt: AttemptId) -> bool {
     headers
         .get(REQUEST_ID)
@@ -151,20 +152,20 @@
     HeaderValue::from_str(&attempt_text(attempt)).unwrap_or_else(|_| HeaderValue::from_static(""))
 }
 
-fn client(idle: usize) -> Client {
+fn client(max_idle: usize) -> Client {
     Client::builder()
         .no_proxy()
         .http1_only()
         .redirect(reqwest::redirect::Policy::none())
         .retry(reqwest::retry::never())
-        .connect_timeout(CONNECT)
-        .pool_idle_timeout(POOL_IDLE)
-        .pool_max_idle_per_host(idle)
+        .connect_timeout(CONNECT_TIMEOUT)
+        .pool_idle_timeout(POOL_IDLE_TIMEOUT)
+        .pool_max_idle_per_host(max_idle)
         .tcp_nodelay(true)
-        .tcp_keepalive(PROBE)
-        .tcp_keepalive_interval(PROBE)
-        .tcp_keepalive_retries(PROBES)
-        .tcp_user_timeout(UNACKNOWLEDGED)
+        .tcp_keepalive(KEEPALIVE_INTERVAL)
+        .tcp_keepalive_interval(KEEPALIVE_INTERVAL)
+        .tcp_keepalive_retries(KEEPALIVE_PROBES)
+        .tcp_user_timeout(TCP_USER_TIMEOUT)
         .build()
         .expect("an HTTP client without TLS needs no system resources")
 }
--- a/cornelstand/tests/path.rs
+++ b/cornelstand/tests/path.rs
@@ -1,5 +1,5 @@
-//! The whole path over real connections: three instances, their platform, an engine and a plain
-//! service.
+//! End-to-end test over real connections: three instances, their platform, a model engine and a
+//! plain service.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -13,8 +13,8 @@
 
 const OPERATOR: &str = "operators-key";
 const ACCOUNT: &str = "kiosk-key";
-/// Bound on a test that hangs; nothing here depends on how long a step takes.
-const GIVE_UP: Duration = Duration::from_mins(1);
+/// Timeout for hanging tests; no assertion depends on how long a step takes.
+const TEST_TIMEOUT: Duration = Duration::from_mins(1);
 
 struct Fleet {
     objects: ObjectApi,
@@ -65,7 +65,7 @@
             instances,
             http: reqwest::Client::builder()
                 .no_proxy()
-                .timeout(GIVE_UP)
+                .timeout(TEST_TIMEOUT)
                 .build()
                 .expect("a client"),
         };
@@ -99,7 +99,7 @@
         let answer = answer.body(note.to_string()).send().await.expect("answer");
         assert_eq!(answer.status(), 200, "{:?}", answer.text().await);
         for instance in &self.instances {
-            tokio::time::timeout(GIVE_UP, instance.ready())
+            tokio::time::timeout(TEST_TIMEOUT, instance.ready())
                 .await
                 .expect("the note is in force on every instance");
         }
@@ -122,7 +122,7 @@
         request.send().await.expect("an answer")
     }
 
-    /// Sends a call again until its answer is recorded.
+    /// Repeats an order until its answer is recorded.
     async fn order_again(&self, instance: usize, key: &str) -> reqwest::Response {
         let recorded = async {
             loop {
@@ -133,7 +133,7 @@
                 tokio::time::sleep(Duration::from_millis(20)).await;
             }
         };
-        tokio::time::timeout(GIVE_UP, recorded)
+        tokio::time::timeout(TEST_TIMEOUT, recorded)
             .await
             .expect("the answer is recorded")
     }
