--- a/cornelstand/src/active.rs
+++ b/cornelstand/src/active.rs
@@ -8,7 +8,7 @@
 use crate::fair::{AccountId, FairQueue};
 use crate::moment::Moment;
 use crate::name::{AttemptId, CellId, EndpointName, InstanceName};
-use crate::tombs::Tombs;
+use crate::tombs::EndedAttempts;
 
 /// A granted attempt that has not ended.
 #[derive(Debug)]
@@ -28,7 +28,7 @@
 #[derive(Debug, Default)]
 pub(crate) struct ActiveSet {
     all: HashMap<AttemptId, Active>,
-    ended: Tombs,
+    ended: EndedAttempts,
 }
 
 impl ActiveSet {
--- a/cornelstand/src/answers.rs
+++ b/cornelstand/src/answers.rs
@@ -17,7 +17,7 @@
 use crate::operator::{Answer, Query};
 use crate::publish::PublishError;
 use crate::status::{InstanceStatus, MemberStatus, Readiness};
-use crate::steward::{LendCell, TakeOverCell};
+use crate::steward::{LendHalf, TakeOverNotice};
 use crate::timeline::{Event, merge};
 
 /// Time for the answer of one instance to a question about the fleet.
@@ -64,12 +64,12 @@
             }),
             borrow: answer!(|parts, borrow| parts
                 .steward
-                .send(LendCell(borrow))
+                .send(LendHalf(borrow))
                 .await
                 .ok()
                 .flatten()),
             yield_cell: answer!(|parts, word| {
-                parts.steward.send(TakeOverCell(word)).await.ok();
+                parts.steward.send(TakeOverNotice(word)).await.ok();
             }),
             suspect: answer!(|parts, suspicion| parts.entry.exchange(suspicion)),
             claim: answer!(|parts, call| parts.claims.serve(call).await.ok()),
--- a/cornelstand/src/instance.rs
+++ b/cornelstand/src/instance.rs
@@ -44,7 +44,7 @@
 use crate::route::{Router, carry_totals};
 use crate::settings::{Settings, Times};
 use crate::status::{InstanceStatus, MemberStatus, OwnerStatus, Readiness, TrafficStatus};
-use crate::steward::{DrainCells, Steward, StopSteward};
+use crate::steward::{DrainCells, LeaseActor, StopLeaseActor};
 use crate::store::Store;
 use crate::timeline::{Timeline, Topic};
 
@@ -107,7 +107,7 @@
     pub(crate) holdings: Holdings,
     pub(crate) membership: Address<Membership>,
     pub(crate) members: watch::Receiver<Arc<Members>>,
-    pub(crate) steward: Address<Steward>,
+    pub(crate) steward: Address<LeaseActor>,
     pub(crate) in_force: InForce,
     pub(crate) links: Links,
     pub(crate) traffic: Traffic,
@@ -238,7 +238,7 @@
         let name = parts.me.name.as_str();
         parts.timeline.record(Topic::Process, "stopped", name, None);
         tracing::info!(instance = name, cut, "stopped");
-        parts.steward.send(StopSteward).await.ok();
+        parts.steward.send(StopLeaseActor).await.ok();
         parts.membership.send(StopMembership).await.ok();
         self.callers.shutdown().await;
         self.tasks.shutdown().await;
@@ -352,7 +352,7 @@
         clock,
         timeline: &timeline,
     });
-    let steward = Steward::spawn(me.holder(), lease_timing(times), parts);
+    let steward = LeaseActor::spawn(me.holder(), lease_timing(times), parts);
     let directory = directory(&members, declared_out.clone());
     let carried = carry_totals(
         directory.clone(),
--- a/cornelstand/src/keeper.rs
+++ b/cornelstand/src/keeper.rs
@@ -27,7 +27,7 @@
 
 /// Lease state machine.
 #[derive(Clone, Debug)]
-pub struct Keeper {
+pub struct LeaseMachine {
     pub(crate) me: Holder,
     pub(crate) cell: CellId,
     pub(crate) timing: LeaseTiming,
@@ -79,7 +79,7 @@
     Moved,
 }
 
-impl Keeper {
+impl LeaseMachine {
     /// Creates the machine of `me` for `cell`.
     #[must_use]
     pub fn new(me: Holder, cell: CellId, timing: LeaseTiming) -> Self {
@@ -160,7 +160,7 @@
             LeaseInput::Reply { from, sent, reply } => self.handle_reply(now, from, sent, reply),
             LeaseInput::Drain => self.start_drain(),
             LeaseInput::HandedOver => self.finish_hand_over(now, out),
-            LeaseInput::TakeOver(word) => self.take_over(now, &word),
+            LeaseInput::TakeOver(notice) => self.take_over(now, &notice),
         }
         self.start_acting(now);
         if is_fresh && self.is_urgent(now) {
@@ -246,7 +246,7 @@
 
     pub(crate) fn update_view(&mut self, now: Moment, view: LeaseView) {
         self.view = view;
-        for holder in &self.view.gone {
+        for holder in &self.view.ended {
             self.gone.entry(holder.clone()).or_insert(now);
         }
         if self.own_epoch.is_some() && !self.view.ranked.is_empty() && !self.is_ranked() {
@@ -319,23 +319,23 @@
         self.borrowed.clear();
         self.returned_at = now;
         if let (Some(epoch), Some(to)) = (epoch, self.successor.clone()) {
-            let word = Yield {
+            let notice = Yield {
                 cell: self.cell.clone(),
                 from: self.me.clone(),
                 epoch,
                 number: self.number,
             };
-            out.push(LeaseEffect::Yield { to, word });
+            out.push(LeaseEffect::Yield { to, notice });
         }
     }
 
-    pub(crate) fn take_over(&mut self, now: Moment, word: &Yield) {
-        let is_returned = |l: &Loan| l.to == word.from && l.number <= word.number;
+    pub(crate) fn take_over(&mut self, now: Moment, notice: &Yield) {
+        let is_returned = |l: &Loan| l.to == notice.from && l.number <= notice.number;
         if self.lent.as_ref().is_some_and(is_returned) {
             self.lent = None;
         }
-        if word.epoch >= self.highest_epoch() {
-            self.yielded = Some((word.epoch, now));
+        if notice.epoch >= self.highest_epoch() {
+            self.yielded = Some((notice.epoch, now));
             self.is_stale = true;
             self.next_call = now;
         }
@@ -432,7 +432,7 @@
     }
 
     pub(crate) fn is_lost(&self, holder: &Holder) -> bool {
-        self.view.lost.contains(holder) || self.gone.contains_key(holder)
+        self.view.unreachable.contains(holder) || self.gone.contains_key(holder)
     }
 
     /// Starts acting as owner if entitled to.
--- a/cornelstand/src/lease.rs
+++ b/cornelstand/src/lease.rs
@@ -207,9 +207,9 @@
     /// Live members eligible to own the cell, best first.
     pub ranked: Vec<Holder>,
     /// Holders of the lease that the membership considers dead or left.
-    pub lost: Vec<Holder>,
+    pub unreachable: Vec<Holder>,
     /// Holders of the lease whose processes are known to have ended.
-    pub gone: Vec<Holder>,
+    pub ended: Vec<Holder>,
 }
 
 /// Input of the lease state machine.
@@ -290,6 +290,6 @@
         /// The next owner.
         to: Holder,
         /// The message.
-        word: Yield,
+        notice: Yield,
     },
 }
--- a/cornelstand/src/lease_write.rs
+++ b/cornelstand/src/lease_write.rs
@@ -3,13 +3,13 @@
 //! At most one call is in flight. Normally only the owner writes. Another instance writes if the
 //! lease is absent, free or assigned to it.
 
-use crate::keeper::{Call, Drain, EPOCH_STEP, Keeper};
+use crate::keeper::{Call, Drain, EPOCH_STEP, LeaseMachine};
 use crate::lease::{Holder, Lease, LeaseEffect};
 use crate::moment::Moment;
 use crate::name::Epoch;
 use crate::store::Condition;
 
-impl Keeper {
+impl LeaseMachine {
     /// Starts the next store call, if one is due.
     pub(crate) fn call_store(&mut self, now: Moment, out: &mut Vec<LeaseEffect>) {
         if self.call.is_some() || now < self.next_call {
--- a/cornelstand/src/lib.rs
+++ b/cornelstand/src/lib.rs
@@ -176,7 +176,7 @@
 };
 pub use instance::{Addresses, Instance, StartError};
 pub use json::{JsonError, Place};
-pub use keeper::Keeper;
+pub use keeper::LeaseMachine;
 pub use lease::{
     Borrow, BorrowReply, Holder, Lease, LeaseEffect, LeaseInput, LeaseTiming, LeaseView, Part,
     Tenure, Yield,
@@ -219,8 +219,8 @@
 pub use sse::{EVENT_BYTES, Scanner, SseError};
 pub use status::{InstanceStatus, MemberStatus, OwnerStatus, Readiness, TrafficStatus};
 pub use steward::{
-    CellChange, DrainCells, LendCell, ListCells, MovedCell, Steward, StewardParts, StopSteward,
-    TakeOverCell,
+    CellChange, DrainCells, HandOverDone, LeaseActor, LeaseActorParts, LendHalf, ListCells,
+    StopLeaseActor, TakeOverNotice,
 };
 pub use store::{Condition, Listing, Object, ObjectKind, Store, StoreError, VALUE_BYTES, Version};
 pub use suspect::{Crash, MAX_CRASHES, Standing, Suspects, Suspicion, Trial, TrialPhase};
--- a/cornelstand/src/member.rs
+++ b/cornelstand/src/member.rs
@@ -278,8 +278,8 @@
         let is_gone = |h: &&&Holder| self.is_gone(&h.name, h.incarnation);
         LeaseView {
             ranked: ranked.map(Member::holder).collect(),
-            lost: holders.iter().filter(is_lost).copied().cloned().collect(),
-            gone: holders.iter().filter(is_gone).copied().cloned().collect(),
+            unreachable: holders.iter().filter(is_lost).copied().cloned().collect(),
+            ended: holders.iter().filter(is_gone).copied().cloned().collect(),
         }
     }
 
--- a/cornelstand/src/ownership.rs
+++ b/cornelstand/src/ownership.rs
@@ -17,7 +17,7 @@
 use crate::link::Links;
 use crate::member::Members;
 use crate::name::{CellId, Epoch, Incarnation, InstanceName};
-use crate::steward::{CellChange, MovedCell, Steward};
+use crate::steward::{CellChange, HandOverDone, LeaseActor};
 
 /// Timeout of a call to a peer.
 const PEER_TIMEOUT: Duration = Duration::from_secs(1);
@@ -39,7 +39,7 @@
     pub(crate) async fn follow(
         self,
         mut changes: mpsc::UnboundedReceiver<(CellId, CellChange)>,
-        steward: Address<Steward>,
+        steward: Address<LeaseActor>,
     ) {
         while let Some((cell, change)) = changes.recv().await {
             if let Some(name) = change.name() {
@@ -89,7 +89,7 @@
         }
     }
 
-    async fn hand_over(&self, cell: CellId, next: Holder, steward: Address<Steward>) {
+    async fn hand_over(&self, cell: CellId, next: Holder, steward: Address<LeaseActor>) {
         let handover = self.holdings.release(&cell, Some(next.name.clone())).await;
         let links = self.links.clone();
         tokio::spawn(async move {
@@ -105,7 +105,7 @@
                     }
                 }
             }
-            steward.send(MovedCell(cell)).await.ok();
+            steward.send(HandOverDone(cell)).await.ok();
         });
     }
 
--- a/cornelstand/src/peers.rs
+++ b/cornelstand/src/peers.rs
@@ -20,7 +20,7 @@
 use crate::name::CellId;
 use crate::revisions::RevisionParts;
 use crate::route::{Directory, Owner};
-use crate::steward::{CellChange, StewardParts};
+use crate::steward::{CellChange, LeaseActorParts};
 use crate::store::Store;
 use crate::timeline::Timeline;
 
@@ -75,14 +75,14 @@
 }
 
 /// What the leases need. Changes of ownership go to `changes`.
-pub(crate) fn steward_parts(needs: StewardNeeds<'_>) -> StewardParts {
+pub(crate) fn steward_parts(needs: StewardNeeds<'_>) -> LeaseActorParts {
     let changes = needs.changes;
     let (lenders, nexts, holdings) = (
         needs.links.clone(),
         needs.links.clone(),
         needs.holdings.clone(),
     );
-    StewardParts {
+    LeaseActorParts {
         store: needs.store.clone(),
         borrow: Arc::new(move |to, borrow| {
             let links = lenders.clone();
@@ -94,7 +94,7 @@
             }
             .boxed()
         }),
-        word: Arc::new(move |to, word| {
+        notify_successor: Arc::new(move |to, word| {
             let links = nexts.clone();
             async move {
                 let told = links.call(to.address, PEER_WAIT, |client, context| async move {
@@ -104,7 +104,7 @@
             }
             .boxed()
         }),
-        tell: Arc::new(move |cell, change| {
+        notify_dispatcher: Arc::new(move |cell, change| {
             // The receiver ends only with the process.
             changes.send((cell, change)).ok();
         }),
--- a/cornelstand/src/steward.rs
+++ b/cornelstand/src/steward.rs
@@ -15,7 +15,7 @@
 use xtra::prelude::*;
 
 use crate::config::Config;
-use crate::keeper::Keeper;
+use crate::keeper::LeaseMachine;
 use crate::lease::{
     Borrow, BorrowReply, Holder, Lease, LeaseEffect, LeaseInput, LeaseTiming, Tenure, Yield,
 };
@@ -47,7 +47,7 @@
 type DelayCall = dyn Fn(&CellId) -> u32 + Send + Sync;
 
 /// Ownership change for the dispatcher of a cell. After `HandOver` it transfers the state and
-/// sends [`MovedCell`].
+/// sends [`HandOverDone`].
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum CellChange {
     /// This instance acts as owner from now on.
@@ -73,17 +73,17 @@
     }
 }
 
-/// Dependencies of the [`Steward`].
+/// Dependencies of the [`LeaseActor`].
 #[derive(Clone)]
-pub struct StewardParts {
+pub struct LeaseActorParts {
     /// The store.
     pub store: Store,
     /// Requests a holder's half; `None` if it does not answer.
     pub borrow: Arc<BorrowCall>,
     /// Notifies the next owner that this instance has stopped.
-    pub word: Arc<YieldCall>,
+    pub notify_successor: Arc<YieldCall>,
     /// Notifies the cell's dispatcher.
-    pub tell: Arc<TellCall>,
+    pub notify_dispatcher: Arc<TellCall>,
     /// Expected queueing delay of a new request at an owned cell, in milliseconds.
     pub delay: Arc<DelayCall>,
     /// The membership.
@@ -100,15 +100,15 @@
 
 /// Answers an acting owner's request for this instance's half; `None` for an unknown cell.
 #[derive(Debug)]
-pub struct LendCell(pub Borrow);
+pub struct LendHalf(pub Borrow);
 
 /// Handles the notice of a former owner.
 #[derive(Debug)]
-pub struct TakeOverCell(pub Yield);
+pub struct TakeOverNotice(pub Yield);
 
 /// Reports that the transfer requested by [`CellChange::HandOver`] has completed or failed.
 #[derive(Debug)]
-pub struct MovedCell(pub CellId);
+pub struct HandOverDone(pub CellId);
 
 /// Hands over all cells because the instance is stopping.
 #[derive(Debug)]
@@ -120,18 +120,18 @@
 
 /// Stops the actor.
 #[derive(Debug)]
-pub struct StopSteward;
+pub struct StopLeaseActor;
 
 struct Tick;
 
 struct CallDone(CellId, LeaseInput);
 
 /// The leases of this instance.
-pub struct Steward {
+pub struct LeaseActor {
     me: Holder,
     timing: LeaseTiming,
-    parts: StewardParts,
-    keepers: BTreeMap<CellId, CellLease>,
+    parts: LeaseActorParts,
+    leases: BTreeMap<CellId, CellLease>,
     revision: Revision,
     is_draining: bool,
     ticks: u32,
@@ -139,7 +139,7 @@
 }
 
 struct CellLease {
-    keeper: Keeper,
+    machine: LeaseMachine,
     /// Membership generation and lease of the machine's last view.
     last_view: Option<(u64, Option<Lease>)>,
     last_claim: Option<(Epoch, u32)>,
@@ -151,20 +151,20 @@
 impl CellLease {
     /// Whether `me` owns the cell, holds one of its halves or is among its first candidates.
     fn has_part(&self, me: &Holder) -> bool {
-        let is_holder = self.keeper.lease().is_some_and(|l| l.is_holder(me));
-        self.is_candidate || is_holder || self.keeper.tenure().is_some()
+        let is_holder = self.machine.lease().is_some_and(|l| l.is_holder(me));
+        self.is_candidate || is_holder || self.machine.tenure().is_some()
     }
 }
 
-impl Steward {
+impl LeaseActor {
     /// Starts the actor on the current runtime. It stops when the last address is dropped.
     #[must_use]
-    pub fn spawn(me: Holder, timing: LeaseTiming, parts: StewardParts) -> Address<Self> {
+    pub fn spawn(me: Holder, timing: LeaseTiming, parts: LeaseActorParts) -> Address<Self> {
         let steward = Self {
             me,
             timing,
             parts,
-            keepers: BTreeMap::new(),
+            leases: BTreeMap::new(),
             revision: Revision::default(),
             is_draining: false,
             ticks: 0,
@@ -182,19 +182,19 @@
         }
         self.revision = config.revision;
         let cells: Vec<CellId> = config.cells().collect();
-        let gone = self.keepers.extract_if(.., |cell, _| !cells.contains(cell));
+        let gone = self.leases.extract_if(.., |cell, _| !cells.contains(cell));
         for (cell, cell_lease) in gone {
-            if cell_lease.keeper.tenure().is_some() {
-                (self.parts.tell)(cell, CellChange::Lost);
+            if cell_lease.machine.tenure().is_some() {
+                (self.parts.notify_dispatcher)(cell, CellChange::Lost);
             }
         }
         for cell in cells {
-            let keeper = || Keeper::new(self.me.clone(), cell.clone(), self.timing);
+            let machine = || LeaseMachine::new(self.me.clone(), cell.clone(), self.timing);
             let cell_lease = self
-                .keepers
+                .leases
                 .entry(cell.clone())
                 .or_insert_with(|| CellLease {
-                    keeper: keeper(),
+                    machine: machine(),
                     last_view: None,
                     last_claim: None,
                     is_candidate: true,
@@ -210,7 +210,7 @@
         let members = self.parts.members.borrow().clone();
         self.ticks = self.ticks.wrapping_add(1);
         let is_full = self.ticks.is_multiple_of(IDLE_TICKS);
-        let watched = self.keepers.iter();
+        let watched = self.leases.iter();
         let watched = watched.filter(|(_, cell_lease)| is_full || cell_lease.has_part(&self.me));
         let cells: Vec<CellId> = watched.map(|(cell, _)| cell.clone()).collect();
         for cell in cells {
@@ -222,10 +222,10 @@
 
     /// Passes membership changes to a machine.
     fn update_membership(&mut self, cell: &CellId, members: &Members, config: &Config) {
-        let Some(cell_lease) = self.keepers.get_mut(cell) else {
+        let Some(cell_lease) = self.leases.get_mut(cell) else {
             return;
         };
-        let lease = cell_lease.keeper.lease();
+        let lease = cell_lease.machine.lease();
         let is_current = cell_lease
             .last_view
             .as_ref()
@@ -257,10 +257,10 @@
     /// Announces ownership of a cell at its interval.
     fn claim(&mut self, cell: &CellId) {
         let now = self.parts.clock.now();
-        let Some(cell_lease) = self.keepers.get_mut(cell) else {
+        let Some(cell_lease) = self.leases.get_mut(cell) else {
             return;
         };
-        let Some(tenure) = cell_lease.keeper.tenure() else {
+        let Some(tenure) = cell_lease.machine.tenure() else {
             cell_lease.claimed_at = None;
             return;
         };
@@ -282,9 +282,9 @@
 
     fn input(&mut self, cell: &CellId, input: LeaseInput) {
         let mut out = Vec::new();
-        if let Some(cell_lease) = self.keepers.get_mut(cell) {
+        if let Some(cell_lease) = self.leases.get_mut(cell) {
             cell_lease
-                .keeper
+                .machine
                 .handle(self.parts.clock.now(), input, &mut out);
         }
         self.carry_out(cell, out);
@@ -294,14 +294,14 @@
         for effect in out {
             match effect {
                 LeaseEffect::Gained(tenure) => {
-                    if let Some(cell_lease) = self.keepers.get_mut(cell) {
+                    if let Some(cell_lease) = self.leases.get_mut(cell) {
                         cell_lease.claimed_at = None;
                     }
                     self.change(cell, "gained", CellChange::Gained(tenure));
                     self.claim(cell);
                 }
                 LeaseEffect::Renewed(tenure) => {
-                    (self.parts.tell)(cell.clone(), CellChange::Renewed(tenure));
+                    (self.parts.notify_dispatcher)(cell.clone(), CellChange::Renewed(tenure));
                 }
                 LeaseEffect::Lost => self.change(cell, "lost", CellChange::Lost),
                 LeaseEffect::HandOver { to } => {
@@ -322,8 +322,8 @@
                         })
                     });
                 }
-                LeaseEffect::Yield { to, word } => {
-                    tokio::spawn((self.parts.word)(to, word));
+                LeaseEffect::Yield { to, notice } => {
+                    tokio::spawn((self.parts.notify_successor)(to, notice));
                 }
             }
         }
@@ -334,7 +334,7 @@
         self.parts
             .timeline
             .record(Topic::Cell, what, &subject, None);
-        (self.parts.tell)(cell.clone(), change);
+        (self.parts.notify_dispatcher)(cell.clone(), change);
     }
 
     /// Runs a call and passes its result to the machine.
@@ -381,7 +381,7 @@
     })
 }
 
-async fn tick(steward: WeakAddress<Steward>) {
+async fn tick(steward: WeakAddress<LeaseActor>) {
     let mut timer = interval(TICK_INTERVAL);
     timer.set_missed_tick_behavior(MissedTickBehavior::Delay);
     loop {
@@ -392,7 +392,7 @@
     }
 }
 
-impl Actor for Steward {
+impl Actor for LeaseActor {
     type Stop = ();
 
     async fn started(&mut self, mailbox: &Mailbox<Self>) -> Result<(), Self::Stop> {
@@ -403,7 +403,7 @@
     async fn stopped(self) -> Self::Stop {}
 }
 
-impl Handler<Tick> for Steward {
+impl Handler<Tick> for LeaseActor {
     type Return = ();
 
     async fn handle(&mut self, _: Tick, _: &mut Context<Self>) {
@@ -411,15 +411,15 @@
     }
 }
 
-impl Handler<StopSteward> for Steward {
+impl Handler<StopLeaseActor> for LeaseActor {
     type Return = ();
 
-    async fn handle(&mut self, _: StopSteward, context: &mut Context<Self>) {
+    async fn handle(&mut self, _: StopLeaseActor, context: &mut Context<Self>) {
         context.stop_all();
     }
 }
 
-impl Handler<CallDone> for Steward {
+impl Handler<CallDone> for LeaseActor {
     type Return = ();
 
     async fn handle(&mut self, CallDone(cell, input): CallDone, _: &mut Context<Self>) {
@@ -427,42 +427,42 @@
     }
 }
 
-impl Handler<LendCell> for Steward {
+impl Handler<LendHalf> for LeaseActor {
     type Return = Option<BorrowReply>;
 
     async fn handle(
         &mut self,
-        LendCell(borrow): LendCell,
+        LendHalf(borrow): LendHalf,
         _: &mut Context<Self>,
     ) -> Option<BorrowReply> {
         let mut out = Vec::new();
-        let cell_lease = self.keepers.get_mut(&borrow.cell)?;
+        let cell_lease = self.leases.get_mut(&borrow.cell)?;
         let reply = cell_lease
-            .keeper
+            .machine
             .lend(self.parts.clock.now(), &borrow, &mut out);
         self.carry_out(&borrow.cell, out);
         Some(reply)
     }
 }
 
-impl Handler<TakeOverCell> for Steward {
+impl Handler<TakeOverNotice> for LeaseActor {
     type Return = ();
 
-    async fn handle(&mut self, TakeOverCell(word): TakeOverCell, _: &mut Context<Self>) {
-        let cell = word.cell.clone();
-        self.input(&cell, LeaseInput::TakeOver(word));
+    async fn handle(&mut self, TakeOverNotice(notice): TakeOverNotice, _: &mut Context<Self>) {
+        let cell = notice.cell.clone();
+        self.input(&cell, LeaseInput::TakeOver(notice));
     }
 }
 
-impl Handler<MovedCell> for Steward {
+impl Handler<HandOverDone> for LeaseActor {
     type Return = ();
 
-    async fn handle(&mut self, MovedCell(cell): MovedCell, _: &mut Context<Self>) {
+    async fn handle(&mut self, HandOverDone(cell): HandOverDone, _: &mut Context<Self>) {
         self.input(&cell, LeaseInput::HandedOver);
     }
 }
 
-impl Handler<DrainCells> for Steward {
+impl Handler<DrainCells> for LeaseActor {
     type Return = ();
 
     async fn handle(&mut self, _: DrainCells, _: &mut Context<Self>) {
@@ -471,12 +471,12 @@
     }
 }
 
-impl Handler<ListCells> for Steward {
+impl Handler<ListCells> for LeaseActor {
     type Return = Vec<(CellId, Tenure)>;
 
     async fn handle(&mut self, _: ListCells, _: &mut Context<Self>) -> Vec<(CellId, Tenure)> {
-        let held = self.keepers.iter();
-        held.filter_map(|(cell, cell_lease)| Some((cell.clone(), cell_lease.keeper.tenure()?)))
+        let held = self.leases.iter();
+        held.filter_map(|(cell, cell_lease)| Some((cell.clone(), cell_lease.machine.tenure()?)))
             .collect()
     }
 }
--- a/cornelstand/src/tombs.rs
+++ b/cornelstand/src/tombs.rs
@@ -9,12 +9,12 @@
 
 /// Bounded set of ended attempts that evicts the oldest.
 #[derive(Debug, Default)]
-pub(crate) struct Tombs {
+pub(crate) struct EndedAttempts {
     order: VecDeque<AttemptId>,
     set: HashSet<AttemptId>,
 }
 
-impl Tombs {
+impl EndedAttempts {
     pub(crate) fn insert(&mut self, attempt: AttemptId) {
         if !self.set.insert(attempt) {
             return;
--- a/cornelstand/tests/agree/lease.rs
+++ b/cornelstand/tests/agree/lease.rs
@@ -216,7 +216,7 @@
     view.ranked = ranked;
     let holders = ring.holders();
     let count = random.random_range(0..=holders.len());
-    view.lost = holders.sample(random, count).cloned().collect();
+    view.unreachable = holders.sample(random, count).cloned().collect();
     view
 }
 
--- a/cornelstand/tests/agree/net.rs
+++ b/cornelstand/tests/agree/net.rs
@@ -7,9 +7,9 @@
 
 use cornelstand::{
     AnswerGossip, Borrow, CellChange, CellId, Clock, Gossip, Holder, InForce, Incarnation,
-    LeaseTiming, LendCell, Member, MemberState, MemberTiming, Members, Membership, MembershipParts,
-    Revision, RevisionParts, Seed, Steward, StewardParts, Store, TakeOverCell, Timeline, Yield,
-    keep_revisions,
+    LeaseActor, LeaseActorParts, LeaseTiming, LendHalf, Member, MemberState, MemberTiming, Members,
+    Membership, MembershipParts, Revision, RevisionParts, Seed, Store, TakeOverNotice, Timeline,
+    Yield, keep_revisions,
 };
 use tokio::sync::watch;
 use xtra::prelude::*;
@@ -21,7 +21,7 @@
 #[derive(Clone)]
 pub(crate) struct Peer {
     pub(crate) fleet: Address<Membership>,
-    pub(crate) steward: Address<Steward>,
+    pub(crate) steward: Address<LeaseActor>,
     pub(crate) in_force: InForce,
 }
 
@@ -105,24 +105,24 @@
         timeline: timeline.clone(),
     });
     let (borrow, notify) = (net.clone(), net.clone());
-    let steward = Steward::spawn(
+    let steward = LeaseActor::spawn(
         holder,
         LeaseTiming::default(),
-        StewardParts {
+        LeaseActorParts {
             store: store.clone(),
             borrow: Arc::new(move |to: Holder, request: Borrow| {
                 let peer = borrow.peer(to.address);
-                Box::pin(async move { peer?.steward.send(LendCell(request)).await.ok()? })
+                Box::pin(async move { peer?.steward.send(LendHalf(request)).await.ok()? })
             }),
-            word: Arc::new(move |to: Holder, message: Yield| {
+            notify_successor: Arc::new(move |to: Holder, message: Yield| {
                 let peer = notify.peer(to.address);
                 Box::pin(async move {
                     if let Some(peer) = peer {
-                        let _ = peer.steward.send(TakeOverCell(message)).await;
+                        let _ = peer.steward.send(TakeOverNotice(message)).await;
                     }
                 })
             }),
-            tell: Arc::new(|_: CellId, _: CellChange| ()),
+            notify_dispatcher: Arc::new(|_: CellId, _: CellChange| ()),
             delay: Arc::new(|_| 0),
             members: members.clone(),
             fleet: fleet.clone(),
--- a/cornelstand/tests/agree/ring.rs
+++ b/cornelstand/tests/agree/ring.rs
@@ -4,8 +4,8 @@
 use std::time::Duration;
 
 use cornelstand::{
-    Borrow, BorrowReply, CellId, Condition, Epoch, Holder, Incarnation, Keeper, Lease, LeaseEffect,
-    LeaseInput, LeaseTiming, LeaseView, Moment, Part, Tenure, Version, Yield, micros,
+    Borrow, BorrowReply, CellId, Condition, Epoch, Holder, Incarnation, Lease, LeaseEffect,
+    LeaseInput, LeaseMachine, LeaseTiming, LeaseView, Moment, Part, Tenure, Version, Yield, micros,
 };
 
 /// Time between two steps.
@@ -45,7 +45,7 @@
 
 /// One instance.
 pub(crate) struct Node {
-    pub(crate) keeper: Keeper,
+    pub(crate) keeper: LeaseMachine,
     pub(crate) holder: Holder,
     pub(crate) is_up: bool,
     pub(crate) paused_until: u64,
@@ -114,7 +114,7 @@
             address: ([127, 0, 0, 1], 7000 + u16::try_from(index).unwrap_or(0)).into(),
         };
         Node {
-            keeper: Keeper::new(holder.clone(), cell(), LeaseTiming::default()),
+            keeper: LeaseMachine::new(holder.clone(), cell(), LeaseTiming::default()),
             holder,
             is_up: true,
             paused_until: 0,
@@ -174,7 +174,7 @@
                 LeaseEffect::HandOver { .. } => {
                     self.post(index, 2, Item::Result(LeaseInput::HandedOver), None);
                 }
-                LeaseEffect::Yield { to, word } => self.send_word(index, &to, word, fate()),
+                LeaseEffect::Yield { to, notice } => self.send_word(index, &to, notice, fate()),
                 LeaseEffect::Borrow { to, borrow, sent } => {
                     self.post_borrow(index, &to, *borrow, sent, fate());
                 }
@@ -231,11 +231,11 @@
         self.cut.contains(&(a.min(b), a.max(b)))
     }
 
-    fn send_word(&mut self, index: usize, to: &Holder, word: Yield, fate: Fate) {
+    fn send_word(&mut self, index: usize, to: &Holder, notice: Yield, fate: Fate) {
         let target = self.nodes.iter().position(|n| n.holder == *to);
         let target = target.filter(|t| !self.is_cut(index, *t));
         if let (Some(target), Fate::Arrive(at)) = (target, fate) {
-            let input = LeaseInput::TakeOver(word);
+            let input = LeaseInput::TakeOver(notice);
             self.post(target, at, Item::Result(input), None);
         }
     }
@@ -337,8 +337,8 @@
         };
         let holders = self.holders();
         LeaseView {
-            lost: holders.iter().filter(is_lost).cloned().collect(),
-            gone: self.gone(index),
+            unreachable: holders.iter().filter(is_lost).cloned().collect(),
+            ended: self.gone(index),
             ranked,
         }
     }
