--- a/cornelstand/src/cell.rs
+++ b/cornelstand/src/cell.rs
@@ -14,7 +14,7 @@
 use crate::cell_status::{AccountStatus, CellStatus, Counts, EndpointStatus};
 use crate::config::Config;
 use crate::dispatch::{Ending, Grant, Offer, Phase, Refusal, Report};
-use crate::endpoint::{EndpointModel, Load, Observation};
+use crate::endpoint::{EndpointModel, LoadReport, Observation};
 use crate::exchange::{Exchange, Totals};
 use crate::fair::{FairQueue, Waiting, arrival};
 use crate::lease::{Part, Tenure};
@@ -45,12 +45,12 @@
     pub(crate) active: ActiveSet,
     pub(crate) unreported: BTreeSet<InstanceName>,
     /// Latest epoch whose running attempts are all known.
-    pub(crate) complete: Epoch,
+    pub(crate) known_epoch: Epoch,
     /// Whether an entry was lost before it reported its running attempts.
-    pub(crate) lost: bool,
-    pub(crate) recovered: Moment,
+    pub(crate) entry_lost: bool,
+    pub(crate) recovery_start: Moment,
     /// Time of the latest input.
-    pub(crate) latest: Moment,
+    pub(crate) last_input: Moment,
     pub(crate) counts: Counts,
     exchange: Exchange,
 }
@@ -75,10 +75,10 @@
             endpoints: BTreeMap::new(),
             active: ActiveSet::default(),
             unreported: BTreeSet::new(),
-            complete: Epoch::default(),
-            lost: false,
-            recovered: now,
-            latest: now,
+            known_epoch: Epoch::default(),
+            entry_lost: false,
+            recovery_start: now,
+            last_input: now,
             counts: Counts::default(),
             exchange: Exchange::default(),
         };
@@ -88,8 +88,8 @@
 
     /// Processes one input and appends its effects to `out`.
     pub fn handle(&mut self, now: Moment, input: CellInput, out: &mut Vec<CellOutput>) {
-        self.latest = now;
-        if now >= self.recovered.after(REOFFER_WINDOW) {
+        self.last_input = now;
+        if now >= self.recovery_start.after(REOFFER_WINDOW) {
             self.queue.forget_restored();
         }
         match input {
@@ -104,9 +104,9 @@
                 self.epoch = self.epoch.max(tenure.epoch);
                 self.tenure = tenure;
             }
-            CellInput::Census(census) => self.census(census),
-            CellInput::Recover { entries } => self.recover(now, entries),
-            CellInput::EntryGone(entry) => self.entry_gone(now, &entry, out),
+            CellInput::Census(census) => self.apply_census(census),
+            CellInput::Recover { entries } => self.start_recovery(now, entries),
+            CellInput::EntryGone(entry) => self.handle_entry_ended(now, &entry, out),
             CellInput::Totals(totals) => self.merge_totals(now, totals),
             CellInput::Tick => {}
         }
@@ -128,7 +128,7 @@
         let totals = self.has_siblings().then(|| self.exchange.due());
         let due = probes.chain(untracked).chain(totals);
         let due = due.chain([deadline, self.tenure.until]);
-        due.filter(|at| *at > self.latest).min()
+        due.filter(|at| *at > self.last_input).min()
     }
 
     /// Identity of the cell.
@@ -152,11 +152,11 @@
     /// Queues, counters and endpoints.
     #[must_use]
     pub fn status(&self) -> CellStatus {
-        let part = self.tenure.part_at(self.latest);
+        let part = self.tenure.part_at(self.last_input);
         let endpoints = self.endpoints.iter().map(|(name, model)| EndpointStatus {
             endpoint: name.clone(),
             state: model.state(),
-            limit: part.map_or(0, |p| p.of(model.limit(self.latest))),
+            limit: part.map_or(0, |p| p.of(model.limit(self.last_input))),
             running: model.running(),
             boot: model.boot(),
         });
@@ -266,7 +266,7 @@
     }
 
     fn report(&mut self, now: Moment, report: &Report) {
-        if !self.active.contains(report.attempt) && !self.learn(report) {
+        if !self.active.contains(report.attempt) && !self.adopt_reported(report) {
             return;
         }
         match report.phase {
@@ -305,7 +305,7 @@
         self.counts.ended += 1;
     }
 
-    fn load(&mut self, now: Moment, endpoint: &EndpointName, load: Load) {
+    fn load(&mut self, now: Moment, endpoint: &EndpointName, load: LoadReport) {
         let counted = self.active.counted_in_load(endpoint, now);
         if let Some(model) = self.endpoints.get_mut(endpoint) {
             model.load(now, load, counted);
--- a/cornelstand/src/cell_message.rs
+++ b/cornelstand/src/cell_message.rs
@@ -5,7 +5,7 @@
 
 use crate::config::Config;
 use crate::dispatch::{Census, Grant, Offer, Refusal, Report};
-use crate::endpoint::{Load, State};
+use crate::endpoint::{LoadReport, State};
 use crate::exchange::Totals;
 use crate::lease::Tenure;
 use crate::name::{AttemptId, EndpointName, InstanceName};
@@ -26,7 +26,7 @@
         /// The endpoint.
         endpoint: EndpointName,
         /// The report.
-        load: Load,
+        load: LoadReport,
     },
     /// Complete set of the endpoints that the platform is about to stop.
     Leaving(BTreeSet<EndpointName>),
--- a/cornelstand/src/dispatcher.rs
+++ b/cornelstand/src/dispatcher.rs
@@ -21,7 +21,7 @@
 use crate::cell_status::CellStatus;
 use crate::config::Config;
 use crate::dispatch::{Census, Handover, Offer, Refusal, Reply, Report};
-use crate::endpoint::Load;
+use crate::endpoint::LoadReport;
 use crate::exchange::Totals;
 use crate::lease::Tenure;
 use crate::moment::{Clock, Moment};
@@ -99,7 +99,7 @@
 /// An endpoint reported its load.
 struct LoadPolled {
     endpoint: EndpointName,
-    load: Load,
+    load: LoadReport,
 }
 
 /// Returns the endpoints to poll, once every [`POLL_INTERVAL`].
@@ -352,7 +352,7 @@
     }
 }
 
-async fn fetch_load(http: &reqwest::Client, address: SocketAddr) -> Option<Load> {
+async fn fetch_load(http: &reqwest::Client, address: SocketAddr) -> Option<LoadReport> {
     let request = http.get(format!("http://{address}/load"));
     let answer = request.send().await.ok()?.error_for_status().ok()?;
     answer.json().await.ok()
--- a/cornelstand/src/endpoint.rs
+++ b/cornelstand/src/endpoint.rs
@@ -256,11 +256,11 @@
 
     /// Requests that may be granted now, where `part` takes the dispatcher's part of a limit.
     pub(crate) fn room(&self, now: Moment, part: impl Fn(u32) -> u32) -> u32 {
-        let Some(foreign) = self.foreign(now) else {
+        let Some(untracked) = self.untracked(now) else {
             return 0;
         };
         let limit = part(self.limit(now));
-        let free = limit.saturating_sub(self.running().saturating_add(foreign));
+        let free = limit.saturating_sub(self.running().saturating_add(untracked));
         match self.state() {
             State::Out | State::Leaving => 0,
             State::Suspect if now < self.probe.due() => 0,
@@ -270,7 +270,7 @@
     }
 
     /// Upper bound on untracked requests, `None` if there is none.
-    pub(crate) fn foreign(&self, now: Moment) -> Option<u32> {
+    pub(crate) fn untracked(&self, now: Moment) -> Option<u32> {
         match self.untracked {
             _ if now >= self.raised.after(UNTRACKED_TIMEOUT) => Some(0),
             Untracked::Unknown => None,
@@ -344,7 +344,7 @@
     /// Processes a load report, which may be up to [`LOAD_LAG`] old.
     ///
     /// `counted` is the number of tracked attempts that it includes at any such age.
-    pub(crate) fn load(&mut self, now: Moment, load: Load, counted: u32) {
+    pub(crate) fn load(&mut self, now: Moment, load: LoadReport, counted: u32) {
         if now >= self.raised.after(LOAD_LAG) {
             let others = load.running.saturating_add(load.waiting);
             let others = others.saturating_sub(counted);
@@ -368,18 +368,18 @@
     }
 
     /// Assumes that any number of untracked requests may run.
-    pub(crate) fn doubt(&mut self, now: Moment) {
+    pub(crate) fn mark_uncertain(&mut self, now: Moment) {
         self.untracked = Untracked::Unknown;
         self.raised = now;
     }
 
     /// Assumes that all running requests are tracked.
-    pub(crate) fn settle(&mut self) {
+    pub(crate) fn clear_uncertain(&mut self) {
         self.untracked = Untracked::AtMost(0);
     }
 
     /// Turns a tracked attempt into an untracked one.
-    pub(crate) fn orphan(&mut self, now: Moment, granted: Moment, attempt: AttemptId) {
+    pub(crate) fn mark_orphaned(&mut self, now: Moment, granted: Moment, attempt: AttemptId) {
         self.stop(granted, attempt);
         self.add_untracked(now, 1);
     }
@@ -517,7 +517,7 @@
 
 /// A load report of an endpoint.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
-pub struct Load {
+pub struct LoadReport {
     /// Boot identity.
     pub boot: BootId,
     /// Running requests.
--- a/cornelstand/src/lib.rs
+++ b/cornelstand/src/lib.rs
@@ -154,7 +154,7 @@
     Ask, Configure, Dispatcher, EntryGone, HandOver, Hear, Inspect, Learn, Publish, Recover,
     SetLease, SetLeaving, Tell, Withdraw,
 };
-pub use endpoint::{Load, State};
+pub use endpoint::{LoadReport, State};
 pub use entry::{Entry, EntryLimits, EntryParts};
 pub use entry_metrics::EntryMetrics;
 pub use exchange::{Total, Totals};
--- a/cornelstand/src/takeover.rs
+++ b/cornelstand/src/takeover.rs
@@ -41,9 +41,9 @@
             }
         }
         if handover.unreported.is_empty() {
-            cell.complete = handover.epoch;
+            cell.known_epoch = handover.epoch;
         } else {
-            cell.recover(now, handover.unreported.into_iter().collect());
+            cell.start_recovery(now, handover.unreported.into_iter().collect());
         }
         cell
     }
@@ -76,13 +76,13 @@
 
     /// Requests that may run at an endpoint and that the next owner cannot track.
     fn untracked(&self, name: &EndpointName, model: &EndpointModel) -> u32 {
-        let foreign = model.foreign(self.latest).unwrap_or(u32::MAX);
-        foreign.saturating_add(self.active.without_entry(name))
+        let untracked = model.untracked(self.last_input).unwrap_or(u32::MAX);
+        untracked.saturating_add(self.active.without_entry(name))
     }
 
     /// Adopts an attempt granted by an earlier owner. Returns whether it is one.
-    pub(crate) fn learn(&mut self, report: &Report) -> bool {
-        let is_earlier = report.epoch > self.complete && report.epoch < self.epoch;
+    pub(crate) fn adopt_reported(&mut self, report: &Report) -> bool {
+        let is_earlier = report.epoch > self.known_epoch && report.epoch < self.epoch;
         let is_adopted = is_earlier && !self.active.has_ended(report.attempt);
         if is_adopted {
             let running = Running {
@@ -97,18 +97,18 @@
         is_adopted
     }
 
-    pub(crate) fn recover(&mut self, now: Moment, entries: BTreeSet<InstanceName>) {
-        self.recovered = now;
+    pub(crate) fn start_recovery(&mut self, now: Moment, entries: BTreeSet<InstanceName>) {
+        self.recovery_start = now;
         self.unreported = entries;
         if self.unreported.is_empty() {
             return;
         }
         for model in self.endpoints.values_mut() {
-            model.doubt(now);
+            model.mark_uncertain(now);
         }
     }
 
-    pub(crate) fn census(&mut self, census: Census) {
+    pub(crate) fn apply_census(&mut self, census: Census) {
         let listed: BTreeSet<AttemptId> = census.running.iter().map(|r| r.attempt).collect();
         for running in census.running {
             let known = self.active.contains(running.attempt);
@@ -128,22 +128,22 @@
 
     /// Ends the recovery once every entry has reported.
     fn finish_recovery(&mut self) {
-        if !self.unreported.is_empty() || self.lost {
+        if !self.unreported.is_empty() || self.entry_lost {
             return;
         }
         for model in self.endpoints.values_mut() {
-            model.settle();
+            model.clear_uncertain();
         }
     }
 
-    pub(crate) fn entry_gone(
+    pub(crate) fn handle_entry_ended(
         &mut self,
         now: Moment,
         entry: &InstanceName,
         out: &mut Vec<CellOutput>,
     ) {
         if self.unreported.remove(entry) {
-            self.lost = true;
+            self.entry_lost = true;
         }
         let gone = self.active.of_entry(entry);
         for attempt in gone {
@@ -153,7 +153,7 @@
             self.queue
                 .finish(active.account, active.charged, active.charged);
             if let Some(model) = self.endpoints.get_mut(&active.endpoint) {
-                model.orphan(now, active.granted, attempt);
+                model.mark_orphaned(now, active.granted, attempt);
             }
             self.counts.ended += 1;
         }
@@ -176,7 +176,7 @@
         } else {
             self.queue.count(account);
         }
-        let granted = self.recovered;
+        let granted = self.recovery_start;
         let model = self.endpoints.get_mut(&running.endpoint);
         let generation = model.map_or(0, |m| {
             m.adopt(granted, running.attempt);
--- a/cornelstand/tests/decide/driver.rs
+++ b/cornelstand/tests/decide/driver.rs
@@ -10,7 +10,7 @@
 
 use cornelstand::{
     AttemptId, BootId, Cell, CellInput, CellOutput, CellStatus, Census, Class, Ending, Epoch,
-    Grant, Load, Offer, Part, Phase, Refusal, Report, Running,
+    Grant, LoadReport, Offer, Part, Phase, Refusal, Report, Running,
 };
 
 use crate::make::{Size, at, attempt, cell, cell_id, config, ended, lease, offer};
@@ -254,7 +254,7 @@
             Step::Restart(engine) => self.restart(engine),
             Step::Sample(engine) => self.sample(engine),
             Step::Loaded(engine, (boot, running, answers)) => {
-                let load = Load {
+                let load = LoadReport {
                     boot: BootId(boot),
                     running,
                     waiting: 0,
--- a/cornelstand/tests/decide/endpoints.rs
+++ b/cornelstand/tests/decide/endpoints.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use cornelstand::{
-    BootId, Cell, CellInput, CellOutput, Ending, Grant, Load, Moment, Phase, Report, State,
+    BootId, Cell, CellInput, CellOutput, Ending, Grant, LoadReport, Moment, Phase, Report, State,
 };
 use rstest::rstest;
 
@@ -69,7 +69,7 @@
     }
 
     fn load(&mut self, boot: u64, running: u32, answers: u32) {
-        let load = Load {
+        let load = LoadReport {
             boot: BootId(boot),
             running,
             waiting: 0,
--- a/cornelstand/tests/decide/takeover.rs
+++ b/cornelstand/tests/decide/takeover.rs
@@ -3,8 +3,8 @@
 use std::sync::Arc;
 
 use cornelstand::{
-    BootId, Cell, CellInput, CellOutput, Census, Class, Config, Ending, Epoch, Grant, Load, Offer,
-    Part, Report, Running,
+    BootId, Cell, CellInput, CellOutput, Census, Class, Config, Ending, Epoch, Grant, LoadReport,
+    Offer, Part, Report, Running,
 };
 
 use crate::make::{at, attempt, cell, cell_id, config, ended, flat, grants, lease, offer, send};
@@ -51,7 +51,7 @@
 }
 
 fn load(running: u32) -> CellInput {
-    let load = Load {
+    let load = LoadReport {
         boot: BootId(1),
         running,
         waiting: 0,
