--- a/cornelstand/src/cell.rs
+++ b/cornelstand/src/cell.rs
@@ -448,7 +448,7 @@
         if !self.has_siblings() {
             return;
         }
-        let accounts = self.exchange.tell(now, &self.queue);
+        let accounts = self.exchange.take_totals(now, &self.queue);
         if !accounts.is_empty() {
             out.push(CellOutput::Totals(Totals {
                 cell: self.id.clone(),
@@ -460,7 +460,7 @@
 
     fn merge_totals(&mut self, now: Moment, totals: Totals) {
         if totals.cell.service == self.id.service && totals.cell != self.id {
-            self.exchange.hear(now, totals, &mut self.queue);
+            self.exchange.merge(now, totals, &mut self.queue);
         }
     }
 
--- a/cornelstand/src/dispatcher.rs
+++ b/cornelstand/src/dispatcher.rs
@@ -39,7 +39,7 @@
 
 /// Offers a request. The reply arrives on the receiver, which fails if the actor stops.
 #[derive(Debug)]
-pub struct Ask(pub Offer);
+pub struct SubmitOffer(pub Offer);
 
 /// Withdraws an offer whose grant the entry does not use.
 #[derive(Debug)]
@@ -47,7 +47,7 @@
 
 /// Reports on granted attempts. Returns whether the cell is owned and took them.
 #[derive(Debug)]
-pub struct Tell(pub Vec<Report>);
+pub struct SendReports(pub Vec<Report>);
 
 /// Puts a revision of the configuration in force.
 #[derive(Debug)]
@@ -67,7 +67,7 @@
 
 /// Passes on the running attempts of an entry.
 #[derive(Debug)]
-pub struct Learn(pub Census);
+pub struct AddCensus(pub Census);
 
 /// Notifies that an entry is permanently gone.
 #[derive(Debug)]
@@ -75,7 +75,7 @@
 
 /// Returns the status, `None` after a handover.
 #[derive(Debug)]
-pub struct Inspect;
+pub struct GetStatus;
 
 /// Ends the ownership, `None` if it has ended. Queued offers are refused, naming the next owner.
 #[derive(Debug)]
@@ -87,11 +87,11 @@
 /// Sets the channel for totals to the other cells of the service. Totals that find it full are
 /// dropped.
 #[derive(Debug)]
-pub struct Publish(pub mpsc::Sender<Totals>);
+pub struct SetTotalsChannel(pub mpsc::Sender<Totals>);
 
 /// Passes on the totals of another cell of the service.
 #[derive(Debug)]
-pub struct Hear(pub Totals);
+pub struct MergeTotals(pub Totals);
 
 /// Signals that the timer of the cell is due.
 struct Tick;
@@ -210,10 +210,14 @@
     async fn stopped(self) {}
 }
 
-impl Handler<Ask> for Dispatcher {
+impl Handler<SubmitOffer> for Dispatcher {
     type Return = oneshot::Receiver<Reply>;
 
-    async fn handle(&mut self, Ask(offer): Ask, _: &mut Context<Self>) -> Self::Return {
+    async fn handle(
+        &mut self,
+        SubmitOffer(offer): SubmitOffer,
+        _: &mut Context<Self>,
+    ) -> Self::Return {
         let (sender, receiver) = oneshot::channel();
         if self.cell.is_some() {
             self.replies.insert(offer.attempt, sender);
@@ -225,10 +229,10 @@
     }
 }
 
-impl Handler<Tell> for Dispatcher {
+impl Handler<SendReports> for Dispatcher {
     type Return = bool;
 
-    async fn handle(&mut self, Tell(reports): Tell, _: &mut Context<Self>) -> bool {
+    async fn handle(&mut self, SendReports(reports): SendReports, _: &mut Context<Self>) -> bool {
         for report in reports {
             self.handle(CellInput::Report(report));
         }
@@ -236,10 +240,10 @@
     }
 }
 
-impl Handler<Inspect> for Dispatcher {
+impl Handler<GetStatus> for Dispatcher {
     type Return = Option<CellStatus>;
 
-    async fn handle(&mut self, _: Inspect, _: &mut Context<Self>) -> Self::Return {
+    async fn handle(&mut self, _: GetStatus, _: &mut Context<Self>) -> Self::Return {
         self.cell.as_ref().map(Cell::status)
     }
 }
@@ -258,10 +262,10 @@
     }
 }
 
-impl Handler<Publish> for Dispatcher {
+impl Handler<SetTotalsChannel> for Dispatcher {
     type Return = ();
 
-    async fn handle(&mut self, Publish(peers): Publish, _: &mut Context<Self>) {
+    async fn handle(&mut self, SetTotalsChannel(peers): SetTotalsChannel, _: &mut Context<Self>) {
         self.totals = Some(peers);
     }
 }
@@ -295,9 +299,9 @@
     SetLease(tenure) => SetLease, CellInput::Lease(tenure);
     SetLeaving(names) => SetLeaving, CellInput::Leaving(names);
     Recover(entries) => Recover, CellInput::Recover { entries };
-    Learn(census) => Learn, CellInput::Census(census);
+    AddCensus(census) => AddCensus, CellInput::Census(census);
     EntryGone(entry) => EntryGone, CellInput::EntryGone(entry);
-    Hear(totals) => Hear, CellInput::Totals(totals);
+    MergeTotals(totals) => MergeTotals, CellInput::Totals(totals);
     LoadPolled { endpoint, load } => LoadPolled, CellInput::Load { endpoint, load };
     _ => Tick, CellInput::Tick;
 }
--- a/cornelstand/src/exchange.rs
+++ b/cornelstand/src/exchange.rs
@@ -52,11 +52,11 @@
     at: Moment,
 }
 
-/// What one cell has told and heard.
+/// What one cell has sent and received.
 #[derive(Debug, Default)]
 pub(crate) struct Exchange {
     due: Moment,
-    told: HashMap<AccountId, u64>,
+    sent: HashMap<AccountId, u64>,
     seen: HashMap<(CellId, AccountName), Seen>,
 }
 
@@ -67,21 +67,21 @@
     }
 
     /// The totals that changed, if a message may go and there are any.
-    pub(crate) fn tell(&mut self, now: Moment, queue: &FairQueue) -> Vec<Total> {
+    pub(crate) fn take_totals(&mut self, now: Moment, queue: &FairQueue) -> Vec<Total> {
         if now < self.due || queue.is_empty() {
             return Vec::new();
         }
         self.due = now.after(PERIOD);
         let backlogged = queue.backlogged().map(|id| (id, queue.given(id)));
-        let known = |id| self.told.get(&id).copied().unwrap_or(0);
+        let known = |id| self.sent.get(&id).copied().unwrap_or(0);
         let changes = backlogged.map(|(id, given)| (given.wrapping_sub(known(id)), id, given));
         let mut changes: Vec<_> = changes.filter(|(change, ..)| *change != 0).collect();
         changes.sort_unstable_by_key(|(change, id, _)| {
             (std::cmp::Reverse(change.cast_signed().unsigned_abs()), *id)
         });
         changes.truncate(MESSAGE_ACCOUNTS);
-        self.told.retain(|id, _| queue.waiting_of(*id) > 0);
-        self.told
+        self.sent.retain(|id, _| queue.waiting_of(*id) > 0);
+        self.sent
             .extend(changes.iter().map(|(_, id, given)| (*id, *given)));
         let totals = changes.into_iter().map(|(_, id, service)| Total {
             account: queue.name(id).clone(),
@@ -91,7 +91,7 @@
     }
 
     /// Adds the service that another cell has given since its last message.
-    pub(crate) fn hear(&mut self, now: Moment, totals: Totals, queue: &mut FairQueue) {
+    pub(crate) fn merge(&mut self, now: Moment, totals: Totals, queue: &mut FairQueue) {
         self.seen.retain(|_, seen| now.since(seen.at) < STALE);
         for total in totals.accounts {
             let seen = Seen {
@@ -111,7 +111,7 @@
                 *last = seen;
             }
             if let Some(id) = id.filter(|id| follows && queue.waiting_of(*id) > 0) {
-                queue.shift(id, change);
+                queue.add_remote_service(id, change);
             }
         }
     }
--- a/cornelstand/src/fair.rs
+++ b/cornelstand/src/fair.rs
@@ -283,7 +283,7 @@
     }
 
     /// Counts a request as running whose cost is already charged.
-    pub(crate) fn count(&mut self, id: AccountId) {
+    pub(crate) fn add_running(&mut self, id: AccountId) {
         self.at_mut(id).running += 1;
     }
 
@@ -299,7 +299,7 @@
     }
 
     /// Adds service that another cell gave to the account.
-    pub(crate) fn shift(&mut self, id: AccountId, service: i64) {
+    pub(crate) fn add_remote_service(&mut self, id: AccountId, service: i64) {
         self.unrank(id);
         let account = self.at_mut(id);
         account.service = account.service.saturating_add_signed(service);
--- a/cornelstand/src/holdings.rs
+++ b/cornelstand/src/holdings.rs
@@ -17,8 +17,8 @@
 use crate::config::Config;
 use crate::dispatch::{Census, Handover, Offer, Refusal, Reply, Report};
 use crate::dispatcher::{
-    Ask, Configure, Dispatcher, EntryGone, HandOver, Hear, Inspect, Learn, Publish, Recover,
-    SetLease, SetLeaving, Tell, Withdraw,
+    AddCensus, Configure, Dispatcher, EntryGone, GetStatus, HandOver, MergeTotals, Recover,
+    SendReports, SetLease, SetLeaving, SetTotalsChannel, SubmitOffer, Withdraw,
 };
 use crate::exchange::Totals;
 use crate::keeper::EPOCH_STEP;
@@ -111,7 +111,10 @@
         let leaving = self.lock().leaving.clone();
         dispatcher.send(SetLeaving(leaving)).await.ok();
         dispatcher.send(SetLease(tenure)).await.ok();
-        dispatcher.send(Publish(self.totals.clone())).await.ok();
+        dispatcher
+            .send(SetTotalsChannel(self.totals.clone()))
+            .await
+            .ok();
         let owned = OwnedCell {
             epoch: tenure.epoch,
             dispatcher,
@@ -161,7 +164,7 @@
         let Some(owned) = self.get(&offer.cell) else {
             return Err(Refusal::NotOwner(None));
         };
-        let reply = match owned.dispatcher.send(Ask(offer)).await {
+        let reply = match owned.dispatcher.send(SubmitOffer(offer)).await {
             Ok(receiver) => receiver.await.ok(),
             Err(_) => None,
         };
@@ -180,7 +183,7 @@
         let mut receipts = Vec::with_capacity(reports.len());
         for report in reports {
             let taken = match self.get(&report.cell) {
-                Some(owned) => owned.dispatcher.send(Tell(vec![report])).await,
+                Some(owned) => owned.dispatcher.send(SendReports(vec![report])).await,
                 None => Ok(false),
             };
             receipts.push(if taken == Ok(true) {
@@ -195,14 +198,14 @@
     /// Passes the totals of another cell of the service to an owned cell.
     pub(crate) async fn hear(&self, cell: &CellId, totals: Totals) {
         if let Some(owned) = self.get(cell) {
-            owned.dispatcher.send(Hear(totals)).await.ok();
+            owned.dispatcher.send(MergeTotals(totals)).await.ok();
         }
     }
 
     /// Passes the running attempts of an entry to an owned cell.
     pub(crate) async fn learn(&self, census: Census) {
         if let Some(owned) = self.get(&census.cell) {
-            owned.dispatcher.send(Learn(census)).await.ok();
+            owned.dispatcher.send(AddCensus(census)).await.ok();
         }
     }
 
@@ -263,7 +266,7 @@
     pub(crate) async fn status(&self) -> Vec<CellStatus> {
         let mut cells = Vec::new();
         for owned in self.all() {
-            cells.extend(owned.dispatcher.send(Inspect).await.ok().flatten());
+            cells.extend(owned.dispatcher.send(GetStatus).await.ok().flatten());
         }
         cells.sort_by(|a, b| a.cell.cmp(&b.cell));
         cells
--- a/cornelstand/src/lib.rs
+++ b/cornelstand/src/lib.rs
@@ -151,8 +151,8 @@
     Reply, Report, Running,
 };
 pub use dispatcher::{
-    Ask, Configure, Dispatcher, EntryGone, HandOver, Hear, Inspect, Learn, Publish, Recover,
-    SetLease, SetLeaving, Tell, Withdraw,
+    AddCensus, Configure, Dispatcher, EntryGone, GetStatus, HandOver, MergeTotals, Recover,
+    SendReports, SetLease, SetLeaving, SetTotalsChannel, SubmitOffer, Withdraw,
 };
 pub use endpoint::{LoadReport, State};
 pub use entry::{Entry, EntryLimits, EntryParts};
--- a/cornelstand/src/takeover.rs
+++ b/cornelstand/src/takeover.rs
@@ -174,7 +174,7 @@
         if charge {
             self.queue.start(account, running.cost);
         } else {
-            self.queue.count(account);
+            self.queue.add_running(account);
         }
         let granted = self.recovery_start;
         let model = self.endpoints.get_mut(&running.endpoint);
--- a/cornelstand/tests/decide/actor.rs
+++ b/cornelstand/tests/decide/actor.rs
@@ -4,8 +4,8 @@
 use std::time::Duration;
 
 use cornelstand::{
-    Ask, BootId, Clock, Config, Dispatcher, Ending, Epoch, HandOver, Inspect, Offer, Part, Phase,
-    Refusal, Reply, Report, SetLease, Tell, Tenure, Timeline, Withdraw,
+    BootId, Clock, Config, Dispatcher, Ending, Epoch, GetStatus, HandOver, Offer, Part, Phase,
+    Refusal, Reply, Report, SendReports, SetLease, SubmitOffer, Tenure, Timeline, Withdraw,
 };
 use tokio::sync::oneshot::Receiver;
 use xtra::Address;
@@ -39,7 +39,7 @@
         left,
         ..offer(number, "a0")
     };
-    dispatcher.send(Ask(offer)).await.expect("it runs")
+    dispatcher.send(SubmitOffer(offer)).await.expect("it runs")
 }
 
 #[tokio::test(start_paused = true)]
@@ -49,7 +49,12 @@
     let second = ask(&dispatcher, 2, 60).await;
     let grant = first.await.expect("a reply").expect("a grant");
     let reports = vec![ended(&grant, "a0", 10, Ending::Answered)];
-    assert!(dispatcher.send(Tell(reports)).await.expect("it runs"));
+    assert!(
+        dispatcher
+            .send(SendReports(reports))
+            .await
+            .expect("it runs")
+    );
     let grant = second.await.expect("a reply").expect("a grant");
     assert_eq!(grant.attempt, attempt(2));
 }
@@ -89,11 +94,17 @@
     drop(ask(&dispatcher, 2, 60).await);
     let third = ask(&dispatcher, 3, 60).await;
     let reports = vec![ended(&grant, "a0", 10, Ending::Answered)];
-    dispatcher.send(Tell(reports)).await.expect("it runs");
+    dispatcher
+        .send(SendReports(reports))
+        .await
+        .expect("it runs");
     let grant = third.await.expect("a reply").expect("a grant");
     let second = ask(&dispatcher, 2, 60).await;
     let reports = vec![ended(&grant, "a0", 10, Ending::Answered)];
-    dispatcher.send(Tell(reports)).await.expect("it runs");
+    dispatcher
+        .send(SendReports(reports))
+        .await
+        .expect("it runs");
     assert!(second.await.expect("a reply").is_ok());
 }
 
@@ -107,7 +118,7 @@
     drop(again);
     let kept = ask(&dispatcher, 3, 60).await;
     tokio::time::sleep(Duration::from_secs(2)).await;
-    let status = dispatcher.send(Inspect).await.expect("it runs");
+    let status = dispatcher.send(GetStatus).await.expect("it runs");
     assert_eq!(status.expect("a status").waiting, 1);
     drop(kept);
 }
@@ -138,7 +149,10 @@
         phase: Phase::Running,
         ..ended(&grant, "a0", 1, Ending::Answered)
     };
-    dispatcher.send(Tell(vec![report])).await.expect("it runs");
+    dispatcher
+        .send(SendReports(vec![report]))
+        .await
+        .expect("it runs");
     let second = ask(&dispatcher, 2, 60).await;
     assert!(
         second.await.expect("a reply").is_ok(),
@@ -161,6 +175,11 @@
     let later = ask(&dispatcher, 3, 60).await;
     assert_eq!(later.await.expect("a reply"), refused);
     let reports = vec![ended(&grant, "a0", 10, Ending::Answered)];
-    assert!(!dispatcher.send(Tell(reports)).await.expect("it runs"));
-    assert_eq!(dispatcher.send(Inspect).await.expect("it runs"), None);
+    assert!(
+        !dispatcher
+            .send(SendReports(reports))
+            .await
+            .expect("it runs")
+    );
+    assert_eq!(dispatcher.send(GetStatus).await.expect("it runs"), None);
 }
--- a/cornelstand/tests/faults/instance.rs
+++ b/cornelstand/tests/faults/instance.rs
@@ -5,9 +5,9 @@
 use std::time::Duration;
 
 use cornelstand::{
-    Ask, AttemptId, CellId, ClaimBook, ClaimLimits, ClaimObjects, Clock, Dispatch, Dispatcher,
-    Entry, EntryLimits, EntryMetrics, EntryParts, InstanceName, Offer, Reply, Report, Tell,
-    Timeline, Withdraw, WriteEnd,
+    AttemptId, CellId, ClaimBook, ClaimLimits, ClaimObjects, Clock, Dispatch, Dispatcher, Entry,
+    EntryLimits, EntryMetrics, EntryParts, InstanceName, Offer, Reply, Report, SendReports,
+    SubmitOffer, Timeline, Withdraw, WriteEnd,
 };
 use futures::FutureExt;
 use tokio::net::TcpListener;
@@ -126,10 +126,10 @@
 }
 
 async fn ask(world: &World, cell: &Address<Dispatcher>, offer: &Offer) -> Reply {
-    let reply = cell.send(Ask(offer.clone())).await.unwrap();
+    let reply = cell.send(SubmitOffer(offer.clone())).await.unwrap();
     if world.is_repeating() {
         // The copy replaces the one who waits, as a sender's second try does.
-        let again = cell.send(Ask(offer.clone())).await.unwrap();
+        let again = cell.send(SubmitOffer(offer.clone())).await.unwrap();
         drop(reply);
         return again.await.unwrap();
     }
@@ -143,11 +143,11 @@
         let act = world.reach(Step::Reported, node).await;
         lost(act).await;
         if act == Act::Repeat {
-            drop(world.cell().send(Tell(vec![report.clone()])).await);
+            drop(world.cell().send(SendReports(vec![report.clone()])).await);
         }
     }
     world.alive_or_stuck(node).await;
-    drop(world.cell().send(Tell(vec![report])).await);
+    drop(world.cell().send(SendReports(vec![report])).await);
 }
 
 /// Waits until a lost message is sent again.
--- a/cornelstand/tests/faults/main.rs
+++ b/cornelstand/tests/faults/main.rs
@@ -23,8 +23,8 @@
 
 use caller::{BODY, Heard, KEY, Refused, answer_to};
 use cornelstand::{
-    Account, AccountName, Centre, CentreName, Class, Config, Endpoint, EndpointName, Inspect, Kind,
-    Repeat, RequestId, Route, Service, ServiceName, key_hash,
+    Account, AccountName, Centre, CentreName, Class, Config, Endpoint, EndpointName, GetStatus,
+    Kind, Repeat, RequestId, Route, Service, ServiceName, key_hash,
 };
 use plan::{CALLS, Call, FAULTS, Fault, STEPS, Step, gap};
 use rstest::rstest;
@@ -106,7 +106,7 @@
     let b = instance::start(&world, Node::B).await;
     let heard = calls(&world, call, a, b).await;
     sleep(Duration::from_secs(5)).await;
-    let status = world.cell().send(Inspect).await.unwrap().unwrap();
+    let status = world.cell().send(GetStatus).await.unwrap().unwrap();
     ticks.abort();
     let seen = world.seen.lock().unwrap();
     let runs = seen.values().map(|s| s.runs).sum();
