--- a/cornelstand/src/answers.rs
+++ b/cornelstand/src/answers.rs
@@ -47,8 +47,11 @@
             withdraw: answer!(|parts, (cell, attempt)| {
                 parts.holdings.withdraw(&cell, attempt).await;
             }),
-            tell: answer!(|parts, reports| parts.holdings.tell(reports).await),
-            hear: answer!(|parts, (cell, totals)| parts.holdings.hear(&cell, totals).await),
+            tell: answer!(|parts, reports| parts.holdings.deliver_reports(reports).await),
+            hear: answer!(|parts, (cell, totals)| parts
+                .holdings
+                .deliver_totals(&cell, totals)
+                .await),
             census: answer!(|parts, (cell, _)| parts.entry.census(&cell)),
             hand_over: answer!(|parts, handover| {
                 parts.holdings.receive(handover);
--- a/cornelstand/src/holdings.rs
+++ b/cornelstand/src/holdings.rs
@@ -33,7 +33,7 @@
 
 /// Dispatchers of the owned cells. Clones share them.
 #[derive(Clone)]
-pub(crate) struct Holdings {
+pub(crate) struct OwnedCells {
     clock: Clock,
     timeline: Timeline,
     config: watch::Receiver<Arc<Config>>,
@@ -66,7 +66,7 @@
     TakenOver,
 }
 
-impl Holdings {
+impl OwnedCells {
     pub(crate) fn new(
         clock: Clock,
         timeline: Timeline,
@@ -85,7 +85,7 @@
     /// Starts the dispatcher of an acquired cell and returns how it was acquired.
     ///
     /// `entries` are the instances that may run requests of the cell.
-    pub(crate) async fn gain(
+    pub(crate) async fn acquire(
         &self,
         cell: &CellId,
         tenure: Tenure,
@@ -179,7 +179,7 @@
     }
 
     /// Passes reports to the dispatchers of their cells.
-    pub(crate) async fn tell(&self, reports: Vec<Report>) -> Vec<Receipt> {
+    pub(crate) async fn deliver_reports(&self, reports: Vec<Report>) -> Vec<Receipt> {
         let mut receipts = Vec::with_capacity(reports.len());
         for report in reports {
             let taken = match self.get(&report.cell) {
@@ -196,14 +196,14 @@
     }
 
     /// Passes the totals of another cell of the service to an owned cell.
-    pub(crate) async fn hear(&self, cell: &CellId, totals: Totals) {
+    pub(crate) async fn deliver_totals(&self, cell: &CellId, totals: Totals) {
         if let Some(owned) = self.get(cell) {
             owned.dispatcher.send(MergeTotals(totals)).await.ok();
         }
     }
 
     /// Passes the running attempts of an entry to an owned cell.
-    pub(crate) async fn learn(&self, census: Census) {
+    pub(crate) async fn deliver_census(&self, census: Census) {
         if let Some(owned) = self.get(&census.cell) {
             owned.dispatcher.send(AddCensus(census)).await.ok();
         }
--- a/cornelstand/src/holdings/tests.rs
+++ b/cornelstand/src/holdings/tests.rs
@@ -6,7 +6,7 @@
 use rstest::rstest;
 use tokio::sync::{mpsc, watch};
 
-use super::{Holdings, Origin};
+use super::{Origin, OwnedCells};
 use crate::config::Config;
 use crate::dispatch::Handover;
 use crate::lease::{Part, Tenure};
@@ -39,18 +39,18 @@
     let (_config, config) = watch::channel(Arc::new(Config::default()));
     let (totals, _totals) = mpsc::channel(1);
     let timeline = Timeline::new("north-1".into(), 16);
-    let holdings = Holdings::new(Clock::start(), timeline, config, totals);
+    let owned = OwnedCells::new(Clock::start(), timeline, config, totals);
     let cell = CellId {
         service: "quotes".into(),
         index: 0,
     };
-    holdings.receive(handover(&cell, before));
+    owned.receive(handover(&cell, before));
     let tenure = Tenure {
         epoch: Epoch(after),
         part: Part::Full,
         until: Moment(u64::MAX),
         after: None,
     };
-    let gained = holdings.gain(&cell, tenure, BTreeSet::new()).await;
+    let gained = owned.acquire(&cell, tenure, BTreeSet::new()).await;
     assert_eq!(gained, origin);
 }
--- a/cornelstand/src/instance.rs
+++ b/cornelstand/src/instance.rs
@@ -22,7 +22,7 @@
 use crate::entry::{Entry, EntryParts};
 use crate::entry_metrics::EntryMetrics;
 use crate::gossip::{Member, MemberState, Seed};
-use crate::holdings::Holdings;
+use crate::holdings::OwnedCells;
 use crate::instance_list::follow_instances;
 use crate::lease::LeaseTiming;
 use crate::link::{self, LinkSettings, Links};
@@ -104,7 +104,7 @@
     pub(crate) me: Member,
     pub(crate) entry: Entry,
     pub(crate) claims: ClaimBook,
-    pub(crate) holdings: Holdings,
+    pub(crate) holdings: OwnedCells,
     pub(crate) membership: Address<Membership>,
     pub(crate) members: watch::Receiver<Arc<Members>>,
     pub(crate) steward: Address<LeaseActor>,
@@ -328,7 +328,7 @@
     let (list, list_out) = watch::channel(None);
     let (declared, declared_out) = watch::channel(Arc::new(Config::default()));
     let (totals, totals_out) = mpsc::channel(TOTALS);
-    let holdings = Holdings::new(clock, timeline.clone(), declared_out.clone(), totals);
+    let holdings = OwnedCells::new(clock, timeline.clone(), declared_out.clone(), totals);
     let machine = Members::new(me.clone(), MemberTiming::default(), me.incarnation.0);
     let parts = membership_parts(&links, list_out, declared_out.clone(), clock, &timeline);
     let (membership, members) = Membership::spawn(machine, parts);
@@ -386,7 +386,9 @@
         configure(in_force.config(), declared, holdings.clone()).boxed(),
         holdings.clone().measure_delays().boxed(),
         ownership.clone().watch_entries().boxed(),
-        ownership.follow(changes_out, steward.clone()).boxed(),
+        ownership
+            .apply_changes(changes_out, steward.clone())
+            .boxed(),
     ];
     let parts = Parts {
         me,
@@ -411,7 +413,7 @@
 async fn configure(
     mut in_force: watch::Receiver<Arc<Config>>,
     declared: watch::Sender<Arc<Config>>,
-    holdings: Holdings,
+    holdings: OwnedCells,
 ) {
     loop {
         let config = in_force.borrow_and_update().clone();
--- a/cornelstand/src/instance_list.rs
+++ b/cornelstand/src/instance_list.rs
@@ -11,7 +11,7 @@
 
 use crate::config::Config;
 use crate::gossip::Seed;
-use crate::holdings::Holdings;
+use crate::holdings::OwnedCells;
 use crate::name::{EndpointName, InstanceName};
 
 /// Time between two readings of the list by the owner of a cell, and for the answer to one.
@@ -62,7 +62,7 @@
 /// the latest list in `latest`.
 pub(crate) async fn follow_instances(
     platform: SocketAddr,
-    holdings: Holdings,
+    holdings: OwnedCells,
     latest: watch::Sender<Option<InstanceList>>,
 ) {
     let http = reqwest::Client::builder().no_proxy().timeout(PERIOD);
--- a/cornelstand/src/ownership.rs
+++ b/cornelstand/src/ownership.rs
@@ -12,7 +12,7 @@
 use xtra::Address;
 
 use crate::gossip::Member;
-use crate::holdings::{Holdings, Origin};
+use crate::holdings::{Origin, OwnedCells};
 use crate::lease::Holder;
 use crate::link::Links;
 use crate::member::Members;
@@ -29,14 +29,14 @@
 /// Dependencies for applying ownership changes.
 #[derive(Clone)]
 pub(crate) struct Ownership {
-    pub(crate) holdings: Holdings,
+    pub(crate) holdings: OwnedCells,
     pub(crate) links: Links,
     pub(crate) members: watch::Receiver<Arc<Members>>,
 }
 
 impl Ownership {
     /// Applies changes until the sender is dropped.
-    pub(crate) async fn follow(
+    pub(crate) async fn apply_changes(
         self,
         mut changes: mpsc::UnboundedReceiver<(CellId, CellChange)>,
         steward: Address<LeaseActor>,
@@ -49,7 +49,7 @@
                 CellChange::Gained(tenure) => {
                     let entries: Vec<Member> = self.members.borrow().live().cloned().collect();
                     let names = entries.iter().map(|m| m.name.clone()).collect();
-                    let origin = self.holdings.gain(&cell, tenure, names).await;
+                    let origin = self.holdings.acquire(&cell, tenure, names).await;
                     if origin == Origin::TakenOver {
                         self.fetch_censuses(&cell, tenure.epoch, entries);
                     }
@@ -82,7 +82,7 @@
                     client.census(context, asked, epoch).await
                 });
             if let Ok(census) = census.await {
-                self.holdings.learn(census).await;
+                self.holdings.deliver_census(census).await;
                 return;
             }
             sleep(CENSUS_RETRY_DELAY).await;
--- a/cornelstand/src/peers.rs
+++ b/cornelstand/src/peers.rs
@@ -11,7 +11,7 @@
 
 use crate::config::Config;
 use crate::containment::SpreadCall;
-use crate::holdings::Holdings;
+use crate::holdings::OwnedCells;
 use crate::instance_list::InstanceList;
 use crate::link::Links;
 use crate::member::Members;
@@ -65,7 +65,7 @@
 pub(crate) struct StewardNeeds<'a> {
     pub(crate) links: &'a Links,
     pub(crate) store: &'a Store,
-    pub(crate) holdings: &'a Holdings,
+    pub(crate) holdings: &'a OwnedCells,
     pub(crate) changes: mpsc::UnboundedSender<(CellId, CellChange)>,
     pub(crate) members: watch::Receiver<Arc<Members>>,
     pub(crate) membership: Address<Membership>,
--- a/cornelstand/src/route.rs
+++ b/cornelstand/src/route.rs
@@ -17,7 +17,7 @@
 use crate::config::Config;
 use crate::dispatch::{Dispatch, Offer, Phase, Refusal, Reply, Report};
 use crate::exchange::Totals;
-use crate::holdings::Holdings;
+use crate::holdings::OwnedCells;
 use crate::link::{LinkError, Links, Receipt};
 use crate::name::{AttemptId, CellId, InstanceName, ServiceName};
 
@@ -68,13 +68,13 @@
 pub(crate) struct Router {
     directory: Directory,
     links: Links,
-    local: Holdings,
+    local: OwnedCells,
     outboxes: Arc<Mutex<HashMap<CellId, mpsc::UnboundedSender<Report>>>>,
 }
 
 impl Router {
     /// Creates a router that reaches own cells through `local` and others over `links`.
-    pub(crate) fn new(directory: Directory, links: Links, local: Holdings) -> Self {
+    pub(crate) fn new(directory: Directory, links: Links, local: OwnedCells) -> Self {
         Self {
             directory,
             links,
@@ -208,7 +208,7 @@
             return Ok(None);
         };
         if owner.instance == self.directory.own {
-            return Ok(Some(self.local.tell(reports).await));
+            return Ok(Some(self.local.deliver_reports(reports).await));
         }
         self.links
             .call(
@@ -254,7 +254,7 @@
 pub(crate) async fn carry_totals(
     directory: Directory,
     links: Links,
-    local: Holdings,
+    local: OwnedCells,
     mut totals: mpsc::Receiver<Totals>,
 ) {
     while let Some(message) = totals.recv().await {
@@ -266,7 +266,7 @@
             let is_own = owner.instance == directory.own;
             tokio::spawn(async move {
                 if is_own {
-                    local.hear(&cell, message).await;
+                    local.deliver_totals(&cell, message).await;
                     return;
                 }
                 let sent = links.call(
