--- a/cornelstand/src/call.rs
+++ b/cornelstand/src/call.rs
@@ -150,9 +150,9 @@
 
     async fn attempt(&mut self, ready: Ready, mut caller: Caller) -> Step {
         match self.clearance(&mut caller).await {
-            Ok(Clearance::Go) => {}
+            Ok(Clearance::Allowed) => {}
             Ok(Clearance::Refused(left)) => return self.contain(ready, caller, left).await,
-            Ok(Clearance::Late) => {
+            Ok(Clearance::DeadlinePassed) => {
                 let problem = refusal::refused(ready, &Refusal::Deadline);
                 return self.give_up(caller, problem).await;
             }
@@ -249,7 +249,7 @@
         mut caller: Caller,
     ) -> Step {
         let upcall = self.upcall(&ready, address);
-        flight.sent(self.core.clock.now());
+        flight.record_sent(self.core.clock.now());
         let wait = self.first_wait(&flight);
         let origin = Origin {
             core: self.core.clone(),
@@ -267,7 +267,7 @@
         };
         match reply {
             Ok(answer) => {
-                flight.head(boot_of(answer.headers()));
+                flight.record_head(boot_of(answer.headers()));
                 let leg = Leg { flight, address };
                 self.answer(sending.sent(), leg, origin, answer, caller)
                     .await
@@ -342,7 +342,7 @@
         self.note_loss(loss, &leg);
         self.avoid(&leg.flight);
         if loss.is_broken() {
-            self.examine(&leg).await;
+            self.check_crash(&leg).await;
         }
         let Leg { flight, address } = leg;
         if !self.is_claimed() && self.core.clock.now() >= self.deadline {
--- a/cornelstand/src/containment.rs
+++ b/cornelstand/src/containment.rs
@@ -33,9 +33,9 @@
 
 /// Result of the containment check of a request.
 pub(crate) enum Clearance {
-    Go,
+    Allowed,
     Refused(Duration),
-    Late,
+    DeadlinePassed,
 }
 
 impl Call {
@@ -46,13 +46,13 @@
             let now = self.core.clock.now();
             let standing = self.core.suspects().check(now, self.fingerprint);
             match standing {
-                Standing::Clear => return Ok(Clearance::Go),
+                Standing::Clear => return Ok(Clearance::Allowed),
                 Standing::Refused(left) => return Ok(Clearance::Refused(left)),
-                Standing::Suspect if now >= self.deadline => return Ok(Clearance::Late),
+                Standing::Suspect if now >= self.deadline => return Ok(Clearance::DeadlinePassed),
                 Standing::Suspect => {}
             }
             if self.begin_trial().await {
-                return Ok(Clearance::Go);
+                return Ok(Clearance::Allowed);
             }
             tokio::select! {
                 () = sleep(backoff) => {}
@@ -102,7 +102,7 @@
 
     /// Checks whether an attempt was lost because its endpoint crashed, and if so shares the crash
     /// with the peers before the request goes on.
-    pub(crate) async fn examine(&self, leg: &Leg) {
+    pub(crate) async fn check_crash(&self, leg: &Leg) {
         let last_boot = leg.flight.last_boot();
         if !self.core.has_crashed(leg.address, last_boot).await {
             return;
@@ -134,11 +134,11 @@
             return;
         };
         let views = timeout(SPREAD_TIMEOUT, (self.spread)(suspicion)).await;
-        self.learn(views.unwrap_or_default());
+        self.merge_suspicions(views.unwrap_or_default());
     }
 
     /// Merges suspicions from other instances.
-    pub(crate) fn learn(&self, suspicions: Vec<Suspicion>) {
+    pub(crate) fn merge_suspicions(&self, suspicions: Vec<Suspicion>) {
         let now = self.clock.now();
         let mut suspects = self.suspects();
         for suspicion in suspicions {
--- a/cornelstand/src/deliver.rs
+++ b/cornelstand/src/deliver.rs
@@ -210,7 +210,7 @@
             Delivered::Cut(loss) => {
                 self.note_loss(loss, &leg);
                 if loss.is_broken() {
-                    self.examine(&leg).await;
+                    self.check_crash(&leg).await;
                 }
                 leg.flight.end(ending_of(loss));
                 let open = reader.cut(idle).await;
@@ -229,7 +229,7 @@
     fn charge(&self, source: &Source, flight: &mut Flight) {
         let cost = match self.kind {
             Kind::Model => source.tokens().unwrap_or_else(|| flight.grant().charged),
-            Kind::Plain => flight.slot_millis(self.core.clock.now()),
+            Kind::Plain => flight.elapsed_millis(self.core.clock.now()),
         };
         flight.progress(cost);
     }
@@ -237,7 +237,7 @@
     /// Time left until the first byte of an answer has to come.
     pub(crate) fn first_wait(&self, flight: &Flight) -> Duration {
         let now = self.core.clock.now();
-        let left = self.core.limits.first().saturating_sub(flight.slot(now));
+        let left = self.core.limits.first().saturating_sub(flight.elapsed(now));
         if self.is_claimed() {
             return left;
         }
--- a/cornelstand/src/entry.rs
+++ b/cornelstand/src/entry.rs
@@ -193,7 +193,7 @@
 
     /// Takes in what peers know about suspect requests.
     pub fn learn(&self, told: Vec<Suspicion>) {
-        self.core.learn(told);
+        self.core.merge_suspicions(told);
     }
 
     /// Takes in what a peer tells of one request and returns what is known of it here.
--- a/cornelstand/src/flight.rs
+++ b/cornelstand/src/flight.rs
@@ -66,18 +66,18 @@
     }
 
     /// Records when sending began.
-    pub(crate) fn sent(&mut self, now: Moment) {
+    pub(crate) fn record_sent(&mut self, now: Moment) {
         self.start = now;
     }
 
     /// Time since sending began.
-    pub(crate) fn slot(&self, now: Moment) -> Duration {
+    pub(crate) fn elapsed(&self, now: Moment) -> Duration {
         now.since(self.start)
     }
 
     /// Milliseconds since sending began, at least one.
-    pub(crate) fn slot_millis(&self, now: Moment) -> u64 {
-        let millis = self.slot(now).as_millis();
+    pub(crate) fn elapsed_millis(&self, now: Moment) -> u64 {
+        let millis = self.elapsed(now).as_millis();
         u64::try_from(millis).unwrap_or(u64::MAX).max(1)
     }
 
@@ -87,7 +87,7 @@
     }
 
     /// Records the boot identity from the head of the answer.
-    pub(crate) fn head(&mut self, boot: Option<BootId>) {
+    pub(crate) fn record_head(&mut self, boot: Option<BootId>) {
         self.boot = boot;
         if let Some(boot) = boot {
             self.core.note_boot(&self.grant.endpoint, boot);
