--- a/cornelstand/src/call.rs
+++ b/cornelstand/src/call.rs
@@ -20,7 +20,7 @@
 use crate::body::{BodyError, CallBody};
 use crate::caller::{Caller, Gone};
 use crate::claim::Recorded;
-use crate::claims::{Begun, Ticket};
+use crate::claims::{BeginOutcome, Ticket};
 use crate::config::{Class, Kind, Repeat};
 use crate::containment::{Clearance, TrialGuard};
 use crate::deliver::{Head, Leg};
@@ -114,20 +114,20 @@
             }
         };
         let problem = match begun {
-            Ok(Begun::Fresh(ticket)) => {
+            Ok(BeginOutcome::Fresh(ticket)) => {
                 self.ticket = Some(ticket);
                 return Step::Again(Ready::Unsent(unsent), caller);
             }
-            Ok(Begun::Answered(recorded)) => match recorded.body {
+            Ok(BeginOutcome::Answered(recorded)) => match recorded.body {
                 Some(body) => {
                     caller.replay(recorded.status, &recorded.media, &body);
                     return Step::Done;
                 }
                 None => refusal::not_kept(recorded.status),
             },
-            Ok(Begun::Running) => refusal::still_running(),
-            Ok(Begun::Unknown) => refusal::outcome_unknown(),
-            Ok(Begun::Mismatch) => refusal::key_reused(unsent.refuse()),
+            Ok(BeginOutcome::Running) => refusal::still_running(),
+            Ok(BeginOutcome::Unknown) => refusal::outcome_unknown(),
+            Ok(BeginOutcome::Mismatch) => refusal::key_reused(unsent.refuse()),
             Err(error) => refusal::unclaimed(unsent.refuse(), error),
         };
         caller.refuse(&problem);
--- a/cornelstand/src/claim.rs
+++ b/cornelstand/src/claim.rs
@@ -22,10 +22,10 @@
 use crate::store::VALUE_BYTES;
 
 /// Maximum length of an answer body stored with a claim.
-pub const BODY_BYTES: usize = 4096;
+pub const MAX_BODY_BYTES: usize = 4096;
 
 /// Maximum length of a content type stored with a claim.
-pub const MEDIA_BYTES: usize = 128;
+pub const MAX_MEDIA_BYTES: usize = 128;
 
 /// Hash of account and idempotency key.
 #[derive(
@@ -103,7 +103,7 @@
     pub status: u16,
     /// Content type, empty if the answer had none or its body is not stored.
     pub media: String,
-    /// The body, `None` if it exceeded [`BODY_BYTES`] and is not stored.
+    /// The body, `None` if it exceeded [`MAX_BODY_BYTES`] and is not stored.
     pub body: Option<Bytes>,
 }
 
@@ -111,7 +111,7 @@
     /// Records the answer, with `body` only if it is short enough.
     #[must_use]
     pub fn new(status: u16, media: &str, body: &Bytes) -> Self {
-        let is_stored = body.len() <= BODY_BYTES && media.len() <= MEDIA_BYTES;
+        let is_stored = body.len() <= MAX_BODY_BYTES && media.len() <= MAX_MEDIA_BYTES;
         Self {
             status,
             media: if is_stored {
@@ -319,7 +319,7 @@
     }
 
     /// Claims `id` unless it is claimed, and returns the claim.
-    pub(crate) fn claim(&mut self, id: ClaimId, wish: ClaimWish) -> &Claim {
+    pub(crate) fn claim(&mut self, id: ClaimId, wish: ClaimRequest) -> &Claim {
         let next = &mut self.next;
         self.claims.entry(id).or_insert_with(|| Claim {
             token: wish.token,
@@ -386,7 +386,7 @@
 
 /// Arguments of a `begin`.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
-pub struct ClaimWish {
+pub struct ClaimRequest {
     /// Token of the `begin`.
     pub token: Token,
     /// Hash of the request.
@@ -399,7 +399,7 @@
 #[derive(Clone, Debug, Deserialize, Eq, IsVariant, PartialEq, Serialize)]
 pub enum ClaimOp {
     /// Claim.
-    Begin(ClaimWish),
+    Begin(ClaimRequest),
     /// Record the outcome of the request claimed by the token.
     Settle(Token, ClaimState),
     /// Release what the token has claimed or may still claim.
@@ -460,7 +460,8 @@
     match state {
         ClaimState::Open | ClaimState::Unknown => true,
         ClaimState::Recorded(r) => {
-            r.media.len() <= MEDIA_BYTES && r.body.as_ref().is_none_or(|b| b.len() <= BODY_BYTES)
+            r.media.len() <= MAX_MEDIA_BYTES
+                && r.body.as_ref().is_none_or(|b| b.len() <= MAX_BODY_BYTES)
         }
     }
 }
--- a/cornelstand/src/claim_shard.rs
+++ b/cornelstand/src/claim_shard.rs
@@ -16,7 +16,7 @@
 use derive_more::IsVariant;
 
 use crate::claim::{
-    Claim, ClaimAnswer, ClaimCall, ClaimOp, ClaimShard, ClaimState, ClaimWish, Expiry,
+    Claim, ClaimAnswer, ClaimCall, ClaimOp, ClaimRequest, ClaimShard, ClaimState, Expiry,
 };
 use crate::claim_segment::{SegmentRef, Segments};
 use crate::moment::Moment;
@@ -42,21 +42,21 @@
     /// Minimum time between the starts of two writes of a shard.
     pub gap: Duration,
     /// Timeout of a `begin` that gets no answer from the store.
-    pub patience: Duration,
+    pub begin_timeout: Duration,
     /// Timeout of a settlement, and retention of a released token.
-    pub settle: Duration,
+    pub settle_timeout: Duration,
     /// Time from `begin` within which the request must be sent.
-    pub window: Duration,
+    pub send_window: Duration,
     /// Age at which an open claim counts as unknown instead of running.
-    pub run: Duration,
+    pub running_age: Duration,
     /// Minimum retention of a settled claim.
-    pub keep: Duration,
+    pub settled_retention: Duration,
     /// Minimum retention of a claim that was never settled.
-    pub orphan: Duration,
+    pub open_retention: Duration,
     /// Maximum operations queued at one shard, and in one write.
     pub queue: usize,
     /// Size of a shard's object, in bytes, above which settled claims move to a segment.
-    pub spill: usize,
+    pub spill_bytes: usize,
 }
 
 impl Default for ClaimLimits {
@@ -64,14 +64,14 @@
         Self {
             shards: 16,
             gap: Duration::from_millis(50),
-            patience: Duration::from_secs(5),
-            settle: Duration::from_mins(10),
-            window: Duration::from_mins(10),
-            run: Duration::from_mins(20),
-            keep: Duration::from_hours(1),
-            orphan: Duration::from_hours(24),
+            begin_timeout: Duration::from_secs(5),
+            settle_timeout: Duration::from_mins(10),
+            send_window: Duration::from_mins(10),
+            running_age: Duration::from_mins(20),
+            settled_retention: Duration::from_hours(1),
+            open_retention: Duration::from_hours(24),
             queue: 1024,
-            spill: 64 << 10,
+            spill_bytes: 64 << 10,
         }
     }
 }
@@ -89,7 +89,7 @@
 
 /// Result of a conditional write.
 #[derive(Clone, Copy, Debug, Eq, IsVariant, PartialEq)]
-pub enum WriteEnd {
+pub enum WriteResult {
     /// The store holds the value under this version.
     Written(Version),
     /// The condition failed. Nothing was written.
@@ -105,11 +105,11 @@
 pub(crate) enum Event {
     Requested(OpId, ClaimCall),
     Read(ReadResult),
-    Written(WriteEnd),
+    Written(WriteResult),
     /// The claims of a segment, `None` if the read failed.
     Segment(SegmentRef, Option<ClaimShard>),
     /// Result of writing a new segment.
-    Stored(SegmentRef, WriteEnd),
+    Stored(SegmentRef, WriteResult),
     Tick,
 }
 
@@ -203,9 +203,9 @@
             return;
         }
         let timeout = if is_begin {
-            self.limits.patience
+            self.limits.begin_timeout
         } else {
-            self.limits.settle
+            self.limits.settle_timeout
         };
         self.queue.push_back(Pending {
             op: Some(op),
@@ -261,12 +261,12 @@
         }
     }
 
-    fn handle_written(&mut self, now: Moment, end: WriteEnd, out: &mut Vec<Effect>) {
+    fn handle_written(&mut self, now: Moment, end: WriteResult, out: &mut Vec<Effect>) {
         let CallState::Writing(shard) = std::mem::replace(&mut self.call, CallState::Idle) else {
             return;
         };
         match end {
-            WriteEnd::Written(version) => {
+            WriteResult::Written(version) => {
                 let before = self.cached.take().map(|c| c.shard.segments);
                 let gone = before.into_iter().flatten();
                 out.extend(
@@ -276,9 +276,9 @@
                 self.cache(now, Condition::Match(version), shard, out);
                 self.send_replies(out);
             }
-            WriteEnd::Conflict => self.cached = None,
-            WriteEnd::NotWritten => self.back_off(now),
-            WriteEnd::Unknown => {
+            WriteResult::Conflict => self.cached = None,
+            WriteResult::NotWritten => self.back_off(now),
+            WriteResult::Unknown => {
                 for pending in self.queue.iter_mut().filter(|p| p.answer.is_some()) {
                     pending.may_be_written = true;
                 }
@@ -310,7 +310,7 @@
     /// Refuses expired operations.
     fn expire_pending(&mut self, now: Moment, out: &mut Vec<Effect>) {
         let is_writing = matches!(self.call, CallState::Writing(_));
-        let settle = self.limits.settle;
+        let settle = self.limits.settle_timeout;
         self.queue.retain_mut(|pending| {
             if now < pending.until {
                 return true;
@@ -340,9 +340,9 @@
         let condition = cached.condition;
         let mut shard = cached.shard.clone();
         shard.expire(Expiry {
-            settled: self.ages.first_younger(now, self.limits.keep),
-            open: self.ages.first_younger(now, self.limits.orphan),
-            released: self.ages.first_younger(now, self.limits.settle),
+            settled: self.ages.first_younger(now, self.limits.settled_retention),
+            open: self.ages.first_younger(now, self.limits.open_retention),
+            released: self.ages.first_younger(now, self.limits.settle_timeout),
         });
         self.segments.apply(&mut shard);
         if let Some(segment) = self.segments.missing(&shard) {
@@ -350,7 +350,7 @@
             out.push(Effect::ReadSegment(segment));
             return;
         }
-        let run_cutoff = self.ages.first_younger(now, self.limits.run);
+        let run_cutoff = self.ages.first_younger(now, self.limits.running_age);
         match self.apply(&mut shard, run_cutoff, false) {
             Applied::Complete => {}
             Applied::NeedsRead => {
@@ -379,7 +379,7 @@
         let (Some(cached), Some(first)) = (&self.cached, self.queue.front()) else {
             return;
         };
-        if bytes <= self.limits.spill {
+        if bytes <= self.limits.spill_bytes {
             return;
         }
         let begun = self
@@ -495,7 +495,7 @@
     }
 }
 
-fn claim_answer(held: &Claim, wish: ClaimWish, run_cutoff: u64) -> ClaimAnswer {
+fn claim_answer(held: &Claim, wish: ClaimRequest, run_cutoff: u64) -> ClaimAnswer {
     if held.token == wish.token {
         return ClaimAnswer::Fresh;
     }
@@ -520,7 +520,11 @@
     ///
     /// The last sample covers all changes; the others are at least one step apart.
     fn record(&mut self, now: Moment, next: u64, limits: &ClaimLimits) {
-        let spans = [limits.run, limits.keep, limits.orphan];
+        let spans = [
+            limits.running_age,
+            limits.settled_retention,
+            limits.open_retention,
+        ];
         let step = spans.into_iter().min().unwrap_or_default() / SAMPLES_PER_SPAN;
         let before = self.samples.len().checked_sub(2);
         let is_too_close = before.is_some_and(|i| now.since(self.samples[i].0) < step);
--- a/cornelstand/src/claim_shard/tests.rs
+++ b/cornelstand/src/claim_shard/tests.rs
@@ -14,14 +14,14 @@
     ClaimLimits {
         shards: 1,
         gap: Duration::from_millis(5),
-        patience: Duration::from_millis(100),
-        settle: Duration::from_millis(400),
-        window: Duration::from_millis(50),
-        run: Duration::from_millis(100),
-        keep: Duration::from_millis(300),
-        orphan: Duration::from_millis(600),
+        begin_timeout: Duration::from_millis(100),
+        settle_timeout: Duration::from_millis(400),
+        send_window: Duration::from_millis(50),
+        running_age: Duration::from_millis(100),
+        settled_retention: Duration::from_millis(300),
+        open_retention: Duration::from_millis(600),
         queue: 16,
-        spill: 200,
+        spill_bytes: 200,
     }
 }
 
@@ -40,8 +40,8 @@
 
 const START: Moment = Moment(0);
 
-fn wish(token: u128) -> ClaimWish {
-    ClaimWish {
+fn wish(token: u128) -> ClaimRequest {
+    ClaimRequest {
         token: Token(token),
         fingerprint: Fingerprint(1),
         request: RequestId(token),
@@ -63,7 +63,7 @@
 }
 
 fn written(version: u64) -> Event {
-    Event::Written(WriteEnd::Written(Version(version)))
+    Event::Written(WriteResult::Written(Version(version)))
 }
 
 fn replies(effects: &[Effect]) -> Vec<(OpId, ClaimAnswer)> {
@@ -85,7 +85,7 @@
     let mut writer = Writer::new(limits());
     writer.handle(START, begin(1));
     writer.handle(START, Event::Read(ReadResult::Absent));
-    let late = at(limits().patience);
+    let late = at(limits().begin_timeout);
     let effects = writer.handle(late, Event::Tick);
     assert_eq!(replies(&effects), [(1, ClaimAnswer::Unavailable)]);
     let effects = writer.handle(late, written(1));
@@ -145,17 +145,17 @@
 }
 
 #[rstest::rstest]
-#[case::young(just_before(limits().run), ClaimAnswer::Running)]
-#[case::dated(limits().run, ClaimAnswer::Unknown)]
-#[case::kept(just_before(limits().orphan), ClaimAnswer::Unknown)]
-#[case::expired(limits().orphan, ClaimAnswer::Fresh)]
+#[case::young(just_before(limits().running_age), ClaimAnswer::Running)]
+#[case::dated(limits().running_age, ClaimAnswer::Unknown)]
+#[case::kept(just_before(limits().open_retention), ClaimAnswer::Unknown)]
+#[case::expired(limits().open_retention, ClaimAnswer::Fresh)]
 fn an_open_claim_is_kept_for_its_time(#[case] time: Duration, #[case] answer: ClaimAnswer) {
     assert_eq!(later_answer(&mut claimed(), time), [(9, answer)]);
 }
 
 #[rstest::rstest]
-#[case::kept(just_before(limits().gap + limits().keep), false)]
-#[case::expired(limits().gap + limits().keep, true)]
+#[case::kept(just_before(limits().gap + limits().settled_retention), false)]
+#[case::expired(limits().gap + limits().settled_retention, true)]
 fn a_settled_claim_is_kept_for_its_time(#[case] time: Duration, #[case] fresh: bool) {
     let mut writer = claimed();
     let later = at(limits().gap);
--- a/cornelstand/src/claim_shard/tests/model.rs
+++ b/cornelstand/src/claim_shard/tests/model.rs
@@ -133,7 +133,7 @@
 /// Actual history of one `begin`.
 #[derive(Clone, Debug)]
 struct History {
-    wish: ClaimWish,
+    wish: ClaimRequest,
     key: usize,
     copies: bool,
     requested_at: Moment,
@@ -308,11 +308,11 @@
 
     fn is_copied(&self, begin: usize) -> bool {
         let history = &self.begins[begin];
-        history.copies && self.now.since(history.requested_at) < limits().patience
+        history.copies && self.now.since(history.requested_at) < limits().begin_timeout
     }
 
     fn send(&mut self, begin: usize) -> Checked {
-        let window = limits().window;
+        let window = limits().send_window;
         let history = &self.begins[begin];
         if self.now.since(history.requested_at) >= window {
             return Ok(());
@@ -322,8 +322,8 @@
                 continue;
             }
             let is_retained = match &other.settled {
-                Some((at, _)) => self.now.since(*at) < limits().keep,
-                None => self.now.since(other.requested_at) < limits().orphan,
+                Some((at, _)) => self.now.since(*at) < limits().settled_retention,
+                None => self.now.since(other.requested_at) < limits().open_retention,
             };
             prop_assert!(
                 !is_retained,
@@ -352,13 +352,13 @@
         segment: Option<SegmentRef>,
         condition: Condition,
         value: &str,
-    ) -> WriteEnd {
+    ) -> WriteResult {
         if let Some(segment) = segment {
             if self.segments.contains_key(&segment) {
-                return WriteEnd::Conflict;
+                return WriteResult::Conflict;
             }
             self.segments.insert(segment, value.to_owned());
-            return WriteEnd::Written(Version(0));
+            return WriteResult::Written(Version(0));
         }
         let present = self.value.as_ref().map(|(version, _)| *version);
         let holds = match condition {
@@ -366,12 +366,12 @@
             Condition::Match(version) => present == Some(version),
         };
         if !holds {
-            return WriteEnd::Conflict;
+            return WriteResult::Conflict;
         }
         self.version += 1;
         let version = Version(self.version);
         self.value = Some((version, value.to_owned()));
-        WriteEnd::Written(version)
+        WriteResult::Written(version)
     }
 
     fn read(&self) -> ReadResult {
@@ -406,9 +406,13 @@
                     self.late_writes.push(call.clone());
                 }
                 let ended = match end {
-                    CallEnd::Answered | CallEnd::Repeated => written.unwrap_or(WriteEnd::Unknown),
-                    CallEnd::Down => WriteEnd::NotWritten,
-                    CallEnd::AnswerLost | CallEnd::CallLost | CallEnd::Delayed => WriteEnd::Unknown,
+                    CallEnd::Answered | CallEnd::Repeated => {
+                        written.unwrap_or(WriteResult::Unknown)
+                    }
+                    CallEnd::Down => WriteResult::NotWritten,
+                    CallEnd::AnswerLost | CallEnd::CallLost | CallEnd::Delayed => {
+                        WriteResult::Unknown
+                    }
                 };
                 match call.segment {
                     Some(segment) => Event::Stored(segment, ended),
@@ -431,7 +435,7 @@
                 copies,
             } => {
                 let token = Token(self.begins.len() as u128);
-                let wish = ClaimWish {
+                let wish = ClaimRequest {
                     token,
                     fingerprint: Fingerprint(fingerprint),
                     request: RequestId(token.0),
--- a/cornelstand/src/claims.rs
+++ b/cornelstand/src/claims.rs
@@ -1,6 +1,6 @@
 //! Claims of non-repeatable requests: the actors that run the claim protocol.
 //!
-//! One actor per shard owns a writer and performs its calls to the store. A [`ClaimBook`] finds
+//! One actor per shard owns a writer and performs its calls to the store. A [`ClaimStore`] finds
 //! the shard of a request and issues the [`Ticket`] that permits sending it once.
 
 use std::collections::HashMap;
@@ -20,17 +20,17 @@
 use xtra::prelude::*;
 
 use crate::claim::{
-    ClaimAnswer, ClaimCall, ClaimId, ClaimOp, ClaimShard, ClaimState, ClaimWish, Recorded, Token,
+    ClaimAnswer, ClaimCall, ClaimId, ClaimOp, ClaimRequest, ClaimShard, ClaimState, Recorded, Token,
 };
 use crate::claim_segment::SegmentRef;
-use crate::claim_shard::{ClaimLimits, Effect, Event, OpId, ReadResult, WriteEnd, Writer};
+use crate::claim_shard::{ClaimLimits, Effect, Event, OpId, ReadResult, WriteResult, Writer};
 use crate::moment::{Clock, Moment};
 use crate::name::{AccountName, Fingerprint, RequestId};
 use crate::store::{Condition, ObjectKind, Store, StoreError, Version};
 
 /// Error of a claim operation.
 ///
-/// From [`ClaimBook::begin`] it means that the request was not and will not be run.
+/// From [`ClaimStore::begin`] it means that the request was not and will not be run.
 #[derive(Clone, Copy, Debug, Eq, PartialEq, Snafu)]
 pub enum ClaimError {
     /// The store gave no definite answer in time.
@@ -53,7 +53,7 @@
 type GetCall =
     dyn Fn(&str) -> BoxFuture<'static, Result<Option<(Version, String)>, ()>> + Send + Sync;
 type DeleteCall = dyn Fn(&str) -> BoxFuture<'static, ()> + Send + Sync;
-type PutCall = dyn Fn(&str, Condition, String) -> BoxFuture<'static, WriteEnd> + Send + Sync;
+type PutCall = dyn Fn(&str, Condition, String) -> BoxFuture<'static, WriteResult> + Send + Sync;
 
 /// Object API calls used by claims, on objects of kind `claim`.
 #[derive(Clone)]
@@ -91,23 +91,23 @@
     }
 }
 
-async fn put(store: Store, name: String, condition: Condition, value: String) -> WriteEnd {
+async fn put(store: Store, name: String, condition: Condition, value: String) -> WriteResult {
     match store.put(ObjectKind::Claim, &name, condition, value).await {
-        Ok(version) => WriteEnd::Written(version),
+        Ok(version) => WriteResult::Written(version),
         Err(error) => write_result(&error),
     }
 }
 
 /// Effect of a failed write. Ambiguous responses leave it unknown.
-fn write_result(error: &StoreError) -> WriteEnd {
+fn write_result(error: &StoreError) -> WriteResult {
     match error {
-        StoreError::Conflict { .. } => WriteEnd::Conflict,
-        StoreError::Unreachable { .. } | StoreError::TooLarge { .. } => WriteEnd::NotWritten,
+        StoreError::Conflict { .. } => WriteResult::Conflict,
+        StoreError::Unreachable { .. } | StoreError::TooLarge { .. } => WriteResult::NotWritten,
         StoreError::Refused { status } => match status.as_u16() {
-            428 | 429 | 503 => WriteEnd::NotWritten,
-            _ => WriteEnd::Unknown,
+            428 | 429 | 503 => WriteResult::NotWritten,
+            _ => WriteResult::Unknown,
         },
-        StoreError::Unknown { .. } | StoreError::Malformed { .. } => WriteEnd::Unknown,
+        StoreError::Unknown { .. } | StoreError::Malformed { .. } => WriteResult::Unknown,
     }
 }
 
@@ -137,7 +137,7 @@
         let remote = remote.and_then(|route| route(self.index(&call), &call));
         let may_be_copied = remote.is_some();
         if let Some(remote) = remote
-            && let Ok(Some(answer)) = timeout(self.limits.patience, remote).await
+            && let Ok(Some(answer)) = timeout(self.limits.begin_timeout, remote).await
         {
             return Answered {
                 answer: Ok(answer),
@@ -242,7 +242,7 @@
 
 /// Outcome of a `begin`.
 #[derive(Debug, IsVariant)]
-pub enum Begun {
+pub enum BeginOutcome {
     /// The caller alone may send this request, once.
     Fresh(Ticket),
     /// The request was answered before.
@@ -257,12 +257,12 @@
 
 /// One instance's access to the fleet's claims. Clones share the actors.
 #[derive(Clone)]
-pub struct ClaimBook {
+pub struct ClaimStore {
     clock: Clock,
     shards: Arc<Shards>,
 }
 
-impl ClaimBook {
+impl ClaimStore {
     /// Starts the actors of all shards on the current runtime.
     #[must_use]
     pub fn start(objects: &ClaimObjects, clock: Clock, limits: ClaimLimits) -> Self {
@@ -319,17 +319,17 @@
         key: &str,
         fingerprint: Fingerprint,
         request: RequestId,
-    ) -> Result<Begun, ClaimError> {
+    ) -> Result<BeginOutcome, ClaimError> {
         let claim = ClaimId::new(account, key);
         let token = Token(rand::random());
         let ticket = Ticket {
             claim,
             token,
-            until: self.clock.now().after(self.shards.limits.window),
+            until: self.clock.now().after(self.shards.limits.send_window),
             shards: Some(self.shards.clone()),
         };
         let mut unissued = UnissuedTicket(Some(ticket));
-        let op = ClaimOp::Begin(ClaimWish {
+        let op = ClaimOp::Begin(ClaimRequest {
             token,
             fingerprint,
             request,
@@ -342,7 +342,7 @@
         }
         let ticket = unissued.0.take().context(StoppedSnafu)?;
         if answered.answer == Ok(ClaimAnswer::Fresh) {
-            return Ok(Begun::Fresh(ticket));
+            return Ok(BeginOutcome::Fresh(ticket));
         }
         ticket.discard();
         begun_from(answered.answer?)
@@ -387,12 +387,12 @@
 }
 
 /// Converts the answer to a failed `begin`.
-fn begun_from(answer: ClaimAnswer) -> Result<Begun, ClaimError> {
+fn begun_from(answer: ClaimAnswer) -> Result<BeginOutcome, ClaimError> {
     match answer {
-        ClaimAnswer::Answered(recorded) => Ok(Begun::Answered(recorded)),
-        ClaimAnswer::Running => Ok(Begun::Running),
-        ClaimAnswer::Unknown => Ok(Begun::Unknown),
-        ClaimAnswer::Mismatch => Ok(Begun::Mismatch),
+        ClaimAnswer::Answered(recorded) => Ok(BeginOutcome::Answered(recorded)),
+        ClaimAnswer::Running => Ok(BeginOutcome::Running),
+        ClaimAnswer::Unknown => Ok(BeginOutcome::Unknown),
+        ClaimAnswer::Mismatch => Ok(BeginOutcome::Mismatch),
         other => Err(error_from(&other)),
     }
 }
--- a/cornelstand/src/deliver.rs
+++ b/cornelstand/src/deliver.rs
@@ -16,7 +16,7 @@
 use crate::body::stated_length;
 use crate::call::{Call, Step, ending_of};
 use crate::caller::{Caller, Gone, Reader};
-use crate::claim::{BODY_BYTES, Recorded};
+use crate::claim::{MAX_BODY_BYTES, Recorded};
 use crate::config::Kind;
 use crate::flight::Flight;
 use crate::headers::{REQUEST_ID, forwarded};
@@ -85,7 +85,7 @@
 
     /// Keeps up to one byte more than a record takes, which tells that the body is too long.
     fn push(&mut self, piece: &[u8]) {
-        let room = (BODY_BYTES + 1).saturating_sub(self.body.len());
+        let room = (MAX_BODY_BYTES + 1).saturating_sub(self.body.len());
         self.body.extend_from_slice(&piece[..piece.len().min(room)]);
     }
 
--- a/cornelstand/src/entry.rs
+++ b/cornelstand/src/entry.rs
@@ -19,7 +19,7 @@
 use crate::attempt::Unsent;
 use crate::body::BodyLimits;
 use crate::caller::{Answer, caller};
-use crate::claims::ClaimBook;
+use crate::claims::ClaimStore;
 use crate::config::Config;
 use crate::containment::SpreadCall;
 use crate::dispatch::{Census, Dispatch};
@@ -120,7 +120,7 @@
     /// Way to the dispatchers.
     pub dispatch: Dispatch,
     /// Claims of requests that may not be repeated.
-    pub claims: ClaimBook,
+    pub claims: ClaimStore,
     /// Way to tell the peers of suspect requests.
     pub spread: SpreadCall,
     /// The configuration in force.
--- a/cornelstand/src/entry_core.rs
+++ b/cornelstand/src/entry_core.rs
@@ -10,7 +10,7 @@
 use tokio::time::{sleep, timeout};
 
 use crate::auth::KeyIndex;
-use crate::claims::ClaimBook;
+use crate::claims::ClaimStore;
 use crate::config::Config;
 use crate::containment::SpreadCall;
 use crate::dispatch::Dispatch;
@@ -32,7 +32,7 @@
 pub(crate) struct Core {
     pub(crate) name: InstanceName,
     pub(crate) dispatch: Dispatch,
-    pub(crate) claims: ClaimBook,
+    pub(crate) claims: ClaimStore,
     pub(crate) spread: SpreadCall,
     pub(crate) clock: Clock,
     pub(crate) timeline: Timeline,
--- a/cornelstand/src/instance.rs
+++ b/cornelstand/src/instance.rs
@@ -17,7 +17,7 @@
 
 use crate::claim_route::claim_route;
 use crate::claim_shard::ClaimLimits;
-use crate::claims::{ClaimBook, ClaimObjects};
+use crate::claims::{ClaimObjects, ClaimStore};
 use crate::config::Config;
 use crate::entry::{Entry, EntryParts};
 use crate::entry_metrics::EntryMetrics;
@@ -103,7 +103,7 @@
 pub(crate) struct Parts {
     pub(crate) me: Member,
     pub(crate) entry: Entry,
-    pub(crate) claims: ClaimBook,
+    pub(crate) claims: ClaimStore,
     pub(crate) holdings: OwnedCells,
     pub(crate) membership: Address<Membership>,
     pub(crate) members: watch::Receiver<Arc<Members>>,
@@ -362,7 +362,7 @@
     );
     let router = Router::new(directory, links.clone(), holdings.clone());
     let objects = ClaimObjects::from(store.clone());
-    let claims = ClaimBook::start(&objects, clock, ClaimLimits::default());
+    let claims = ClaimStore::start(&objects, clock, ClaimLimits::default());
     let claims = claims.with_route(claim_route(&members, &links));
     let entry = Entry::new(EntryParts {
         name: settings.instance.clone(),
--- a/cornelstand/src/lib.rs
+++ b/cornelstand/src/lib.rs
@@ -130,12 +130,12 @@
 pub use cell_message::{CellInput, CellOutput};
 pub use cell_status::{AccountStatus, CellStatus, Counts, EndpointStatus};
 pub use claim::{
-    BODY_BYTES, Claim, ClaimAnswer, ClaimCall, ClaimId, ClaimOp, ClaimShard, ClaimShardError,
-    ClaimState, ClaimWish, HexError, MEDIA_BYTES, Recorded, Token,
+    Claim, ClaimAnswer, ClaimCall, ClaimId, ClaimOp, ClaimRequest, ClaimShard, ClaimShardError,
+    ClaimState, HexError, MAX_BODY_BYTES, MAX_MEDIA_BYTES, Recorded, Token,
 };
 pub use claim_segment::SegmentRef;
-pub use claim_shard::{ClaimLimits, WriteEnd};
-pub use claims::{Begun, ClaimBook, ClaimError, ClaimObjects, ClaimRoute, Ticket};
+pub use claim_shard::{ClaimLimits, WriteResult};
+pub use claims::{BeginOutcome, ClaimError, ClaimObjects, ClaimRoute, ClaimStore, Ticket};
 pub use client::{ClientError, OperatorClient, operator_key};
 pub use command::{KEY_FILE_VARIABLE, command};
 pub use config::{Account, Centre, Class, Config, Endpoint, Kind, Repeat, Route, Service};
--- a/cornelstand/src/publish.rs
+++ b/cornelstand/src/publish.rs
@@ -141,7 +141,7 @@
     pub fn config(&self) -> Config {
         let parts = self.head.shards.iter();
         let parts = parts.filter_map(|s| self.parts.get(&s.digest));
-        shard::join(self.head.revision, parts.map(AsRef::as_ref))
+        shard::merge_shards(self.head.revision, parts.map(AsRef::as_ref))
     }
 
     fn condition(&self) -> Condition {
@@ -290,7 +290,7 @@
 }
 
 fn divided(config: &Config) -> Result<Vec<Shard>, PublishError> {
-    let shards = shard::divide(config).ok();
+    let shards = shard::split_config(config).ok();
     shards.context(DamagedSnafu { name: HEAD_NAME })
 }
 
--- a/cornelstand/src/shard.rs
+++ b/cornelstand/src/shard.rs
@@ -67,7 +67,7 @@
 }
 
 /// Divides `config` into non-empty shards.
-pub(crate) fn divide(config: &Config) -> Result<Vec<Shard>, serde_json::Error> {
+pub(crate) fn split_config(config: &Config) -> Result<Vec<Shard>, serde_json::Error> {
     let total = serde_json::to_vec(config)?.len();
     let count = total
         .div_ceil(SHARD_BYTES)
@@ -107,7 +107,10 @@
 }
 
 /// Merges the shards of a configuration.
-pub(crate) fn join<'a>(revision: Revision, parts: impl Iterator<Item = &'a Items>) -> Config {
+pub(crate) fn merge_shards<'a>(
+    revision: Revision,
+    parts: impl Iterator<Item = &'a Items>,
+) -> Config {
     let mut config = Config {
         revision,
         ..Config::default()
--- a/cornelstand/tests/decoders.rs
+++ b/cornelstand/tests/decoders.rs
@@ -4,10 +4,10 @@
 
 use bytes::Bytes;
 use cornelstand::{
-    ACCOUNT_KEY_BYTES, BODY_BYTES, ClaimAnswer, ClaimCall, ClaimOp, ClaimShard, ClaimState, Config,
-    EVENT_BYTES, Gossip, IDEMPOTENCY_KEY_BYTES, MAX_DEADLINE, MAX_HINT, MEDIA_BYTES, Note, Offer,
-    Recorded, Report, SETTINGS_BYTES, Scanner, Settings, Token, VALUE_BYTES, Wishes, bearer_key,
-    split_path,
+    ACCOUNT_KEY_BYTES, ClaimAnswer, ClaimCall, ClaimOp, ClaimShard, ClaimState, Config,
+    EVENT_BYTES, Gossip, IDEMPOTENCY_KEY_BYTES, MAX_BODY_BYTES, MAX_DEADLINE, MAX_HINT,
+    MAX_MEDIA_BYTES, Note, Offer, Recorded, Report, SETTINGS_BYTES, Scanner, Settings, Token,
+    VALUE_BYTES, Wishes, bearer_key, split_path,
 };
 use http::header::{AUTHORIZATION, HeaderMap, HeaderName, HeaderValue};
 use proptest::collection::vec;
@@ -203,8 +203,8 @@
 }
 
 #[rstest]
-#[case::body("body", BODY_BYTES)]
-#[case::media("media", MEDIA_BYTES)]
+#[case::body("body", MAX_BODY_BYTES)]
+#[case::media("media", MAX_MEDIA_BYTES)]
 fn a_claim_object_with_a_longer_answer_than_is_kept_is_refused(
     #[case] part: &str,
     #[case] bound: usize,
--- a/cornelstand/tests/entry/fleet.rs
+++ b/cornelstand/tests/entry/fleet.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 use cornelstand::{
-    Account, AccountName, Centre, CentreName, ClaimBook, ClaimLimits, Class, Clock, Config,
+    Account, AccountName, Centre, CentreName, ClaimLimits, ClaimStore, Class, Clock, Config,
     Dispatch, Ending, Endpoint, EndpointName, Entry, EntryLimits, EntryMetrics, EntryParts, Epoch,
     Grant, InstanceName, Kind, Offer, Phase, Refusal, Repeat, Reply, Report, Route, Service,
     ServiceName, SpreadCall, Store, Timeline, key_hash,
@@ -102,16 +102,16 @@
 }
 
 /// Claims in the object API at `store`, or in memory.
-pub(crate) fn claims(store: Option<SocketAddr>) -> ClaimBook {
+pub(crate) fn claims(store: Option<SocketAddr>) -> ClaimStore {
     let limits = ClaimLimits {
         shards: 1,
         gap: Duration::ZERO,
-        patience: Duration::from_millis(300),
+        begin_timeout: Duration::from_millis(300),
         ..ClaimLimits::default()
     };
     let store = store.unwrap_or(UNREACHABLE);
     let store = Store::new(store, Duration::from_millis(100));
-    ClaimBook::start(&store.into(), Clock::start(), limits)
+    ClaimStore::start(&store.into(), Clock::start(), limits)
 }
 
 /// Entries that hear of suspect requests at once.
--- a/cornelstand/tests/faults/claims.rs
+++ b/cornelstand/tests/faults/claims.rs
@@ -7,36 +7,36 @@
 
 use crate::fakes::{FakeStore, StoreFault};
 use cornelstand::{
-    AccountName, BODY_BYTES, Begun, ClaimBook, ClaimError, ClaimLimits, ClaimRoute, Clock,
-    Fingerprint, Recorded, RequestId, Ticket, VALUE_BYTES,
+    AccountName, BeginOutcome, ClaimError, ClaimLimits, ClaimRoute, ClaimStore, Clock, Fingerprint,
+    MAX_BODY_BYTES, Recorded, RequestId, Ticket, VALUE_BYTES,
 };
 use futures::FutureExt;
 use rstest::rstest;
 
 /// A book with one shard that moves settled claims out early.
-fn small_book(store: &FakeStore) -> ClaimBook {
+fn small_book(store: &FakeStore) -> ClaimStore {
     let limits = ClaimLimits {
         shards: 1,
-        spill: 4096,
+        spill_bytes: 4096,
         ..ClaimLimits::default()
     };
-    ClaimBook::start(&store.objects(), Clock::start(), limits)
+    ClaimStore::start(&store.objects(), Clock::start(), limits)
 }
 
 const PRINT: Fingerprint = Fingerprint(7);
 
-fn book(store: &FakeStore) -> ClaimBook {
-    ClaimBook::start(&store.objects(), Clock::start(), ClaimLimits::default())
+fn book(store: &FakeStore) -> ClaimStore {
+    ClaimStore::start(&store.objects(), Clock::start(), ClaimLimits::default())
 }
 
-async fn begin(book: &ClaimBook, key: &str) -> Result<Begun, ClaimError> {
+async fn begin(book: &ClaimStore, key: &str) -> Result<BeginOutcome, ClaimError> {
     let account = AccountName::from("tailors");
     book.begin(&account, key, PRINT, RequestId(1)).await
 }
 
-async fn fresh(book: &ClaimBook, key: &str) -> Ticket {
+async fn fresh(book: &ClaimStore, key: &str) -> Ticket {
     match begin(book, key).await {
-        Ok(Begun::Fresh(ticket)) => ticket,
+        Ok(BeginOutcome::Fresh(ticket)) => ticket,
         other => panic!("not fresh: {other:?}"),
     }
 }
@@ -56,7 +56,7 @@
     let ticket = fresh(&one, "k").await;
     assert!(begin(&two, "k").await.unwrap().is_running());
     one.record(ticket, answer()).await.unwrap();
-    let Begun::Answered(found) = begin(&two, "k").await.unwrap() else {
+    let BeginOutcome::Answered(found) = begin(&two, "k").await.unwrap() else {
         panic!("the answer was not found");
     };
     assert_eq!(found, answer());
@@ -140,7 +140,7 @@
     let book = book(&store);
     let ticket = fresh(&book, "k").await;
     assert!(book.is_sendable(&ticket));
-    tokio::time::sleep(ClaimLimits::default().window).await;
+    tokio::time::sleep(ClaimLimits::default().send_window).await;
     assert!(!book.is_sendable(&ticket));
 }
 
@@ -151,7 +151,7 @@
         shards: 1,
         ..ClaimLimits::default()
     };
-    let book = ClaimBook::start(&store.objects(), Clock::start(), limits);
+    let book = ClaimStore::start(&store.objects(), Clock::start(), limits);
     drop(fresh(&book, "k").await);
     tokio::time::sleep(Duration::from_secs(1)).await;
     let (reads, writes) = store.calls();
@@ -171,7 +171,7 @@
     Late,
 }
 
-fn route(writer: &ClaimBook, link: Link) -> ClaimRoute {
+fn route(writer: &ClaimStore, link: Link) -> ClaimRoute {
     let writer = writer.clone();
     Arc::new(move |_, call| {
         let (writer, call) = (writer.clone(), call.clone());
@@ -197,7 +197,7 @@
     })
 }
 
-fn routed(store: &FakeStore, writer: &ClaimBook, link: Link) -> ClaimBook {
+fn routed(store: &FakeStore, writer: &ClaimStore, link: Link) -> ClaimStore {
     book(store).with_route(route(writer, link))
 }
 
@@ -271,7 +271,7 @@
             "round {round}: {:?}",
             store.sizes()
         );
-        tokio::time::sleep(ClaimLimits::default().keep * 2).await;
+        tokio::time::sleep(ClaimLimits::default().settled_retention * 2).await;
     }
 }
 
@@ -284,7 +284,7 @@
         tickets.push(fresh(&book, &format!("k{number}")).await);
     }
     // A control character takes six bytes in JSON.
-    let long = Recorded::new(200, "text/plain", &Bytes::from(vec![1; BODY_BYTES]));
+    let long = Recorded::new(200, "text/plain", &Bytes::from(vec![1; MAX_BODY_BYTES]));
     let records = tickets.into_iter().map(|t| book.record(t, long.clone()));
     for done in futures::future::join_all(records).await {
         done.unwrap();
--- a/cornelstand/tests/faults/fakes.rs
+++ b/cornelstand/tests/faults/fakes.rs
@@ -4,7 +4,7 @@
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
 
-use cornelstand::{ClaimObjects, Condition, VALUE_BYTES, Version, WriteEnd};
+use cornelstand::{ClaimObjects, Condition, VALUE_BYTES, Version, WriteResult};
 use futures::FutureExt;
 use tokio::time::sleep;
 
@@ -104,14 +104,14 @@
         Ok(self.state.lock().unwrap().objects.get(&name).cloned())
     }
 
-    async fn put(self, name: String, condition: Condition, value: String) -> WriteEnd {
+    async fn put(self, name: String, condition: Condition, value: String) -> WriteResult {
         let fault = self.next(|s| s.writes += 1);
         sleep(STORE_TIME / 2).await;
         match fault {
-            Some(StoreFault::Down) => return WriteEnd::NotWritten,
+            Some(StoreFault::Down) => return WriteResult::NotWritten,
             Some(StoreFault::CallLost) => {
                 sleep(STORE_TIMEOUT).await;
-                return WriteEnd::Unknown;
+                return WriteResult::Unknown;
             }
             Some(StoreFault::Late(by)) => {
                 tokio::spawn(async move {
@@ -119,7 +119,7 @@
                     self.write(&name, condition, value);
                 });
                 sleep(STORE_TIMEOUT).await;
-                return WriteEnd::Unknown;
+                return WriteResult::Unknown;
             }
             Some(StoreFault::AnswerLost | StoreFault::Slow(_)) | None => {}
         }
@@ -127,7 +127,7 @@
         match fault {
             Some(StoreFault::AnswerLost) => {
                 sleep(STORE_TIMEOUT).await;
-                return WriteEnd::Unknown;
+                return WriteResult::Unknown;
             }
             Some(StoreFault::Slow(by)) => sleep(by).await,
             _ => {}
@@ -143,7 +143,7 @@
         state.faults.pop_front().unwrap_or(standing)
     }
 
-    fn write(&self, name: &str, condition: Condition, value: String) -> WriteEnd {
+    fn write(&self, name: &str, condition: Condition, value: String) -> WriteResult {
         let mut state = self.state.lock().unwrap();
         let present = state.objects.get(name).map(|(version, _)| *version);
         let holds = match condition {
@@ -151,14 +151,14 @@
             Condition::Match(version) => present == Some(version),
         };
         if !holds {
-            return WriteEnd::Conflict;
+            return WriteResult::Conflict;
         }
         if value.len() > VALUE_BYTES {
-            return WriteEnd::NotWritten;
+            return WriteResult::NotWritten;
         }
         state.version += 1;
         let version = Version(state.version);
         state.objects.insert(name.to_owned(), (version, value));
-        WriteEnd::Written(version)
+        WriteResult::Written(version)
     }
 }
--- a/cornelstand/tests/faults/instance.rs
+++ b/cornelstand/tests/faults/instance.rs
@@ -5,9 +5,9 @@
 use std::time::Duration;
 
 use cornelstand::{
-    AttemptId, CellId, ClaimBook, ClaimLimits, ClaimObjects, Clock, Dispatch, Dispatcher, Entry,
+    AttemptId, CellId, ClaimLimits, ClaimObjects, ClaimStore, Clock, Dispatch, Dispatcher, Entry,
     EntryLimits, EntryMetrics, EntryParts, InstanceName, Offer, Reply, Report, SendReports,
-    SubmitOffer, Timeline, Withdraw, WriteEnd,
+    SubmitOffer, Timeline, Withdraw, WriteResult,
 };
 use futures::FutureExt;
 use tokio::net::TcpListener;
@@ -35,8 +35,8 @@
     ClaimLimits {
         shards: 1,
         gap: Duration::from_millis(5),
-        patience: Duration::from_secs(1),
-        window: Duration::from_secs(10),
+        begin_timeout: Duration::from_secs(1),
+        send_window: Duration::from_secs(10),
         ..ClaimLimits::default()
     }
 }
@@ -48,7 +48,7 @@
     let entry = Entry::new(EntryParts {
         name: name.clone(),
         dispatch: dispatch(world, node),
-        claims: ClaimBook::start(&objects(world, node), clock, claim_limits()),
+        claims: ClaimStore::start(&objects(world, node), clock, claim_limits()),
         spread: Arc::new(|_| async { Vec::new() }.boxed()),
         config: world.config.subscribe(),
         clock,
@@ -193,13 +193,13 @@
 }
 
 /// Writes a claim object over a link that may fail.
-async fn write<F: Future<Output = WriteEnd>>(act: Act, put: impl Fn() -> F) -> WriteEnd {
+async fn write<F: Future<Output = WriteResult>>(act: Act, put: impl Fn() -> F) -> WriteResult {
     match act {
-        Act::Cut => WriteEnd::NotWritten,
+        Act::Cut => WriteResult::NotWritten,
         Act::Silent => {
             put().await;
             sleep(Duration::from_millis(200)).await;
-            WriteEnd::Unknown
+            WriteResult::Unknown
         }
         Act::Repeat => {
             let end = put().await;
