--- a/cornelstand/src/shard.rs
+++ b/cornelstand/src/shard.rs
@@ -66,7 +66,7 @@
     pub(crate) text: String,
 }
 
-/// Divides `config` into non-empty shards.
+/// Splits `config` into non-empty shards.
 pub(crate) fn split_config(config: &Config) -> Result<Vec<Shard>, serde_json::Error> {
     let total = serde_json::to_vec(config)?.len();
     let count = total
--- a/cornelstand/tests/agree/ring.rs
+++ b/cornelstand/tests/agree/ring.rs
@@ -45,7 +45,7 @@
 
 /// One instance.
 pub(crate) struct Node {
-    pub(crate) keeper: LeaseMachine,
+    pub(crate) machine: LeaseMachine,
     pub(crate) holder: Holder,
     pub(crate) is_up: bool,
     pub(crate) paused_until: u64,
@@ -114,7 +114,7 @@
             address: ([127, 0, 0, 1], 7000 + u16::try_from(index).unwrap_or(0)).into(),
         };
         Node {
-            keeper: LeaseMachine::new(holder.clone(), cell(), LeaseTiming::default()),
+            machine: LeaseMachine::new(holder.clone(), cell(), LeaseTiming::default()),
             holder,
             is_up: true,
             paused_until: 0,
@@ -152,7 +152,7 @@
     ) {
         let now = self.now(index);
         let mut out = Vec::new();
-        self.nodes[index].keeper.handle(now, input, &mut out);
+        self.nodes[index].machine.handle(now, input, &mut out);
         self.carry_out(index, out, fate);
     }
 
@@ -174,7 +174,7 @@
                 LeaseEffect::HandOver { .. } => {
                     self.post(index, 2, Item::Result(LeaseInput::HandedOver), None);
                 }
-                LeaseEffect::Yield { to, notice } => self.send_word(index, &to, notice, fate()),
+                LeaseEffect::Yield { to, notice } => self.send_notice(index, &to, notice, fate()),
                 LeaseEffect::Borrow { to, borrow, sent } => {
                     self.post_borrow(index, &to, *borrow, sent, fate());
                 }
@@ -231,7 +231,7 @@
         self.cut.contains(&(a.min(b), a.max(b)))
     }
 
-    fn send_word(&mut self, index: usize, to: &Holder, notice: Yield, fate: Fate) {
+    fn send_notice(&mut self, index: usize, to: &Holder, notice: Yield, fate: Fate) {
         let target = self.nodes.iter().position(|n| n.holder == *to);
         let target = target.filter(|t| !self.is_cut(index, *t));
         if let (Some(target), Fate::Arrive(at)) = (target, fate) {
@@ -290,7 +290,7 @@
             Item::Ask(from, borrow, sent) => {
                 let now = self.now(post.node);
                 let mut out = Vec::new();
-                let reply = self.nodes[post.node].keeper.lend(now, &borrow, &mut out);
+                let reply = self.nodes[post.node].machine.lend(now, &borrow, &mut out);
                 self.carry_out(post.node, out, fate);
                 let me = self.nodes[post.node].holder.clone();
                 let back = self.nodes.iter().position(|n| n.holder == from);
--- a/cornelstand/tests/faults/claims.rs
+++ b/cornelstand/tests/faults/claims.rs
@@ -13,7 +13,7 @@
 use futures::FutureExt;
 use rstest::rstest;
 
-/// A book with one shard that moves settled claims out early.
+/// A claim store with one shard that moves settled claims out early.
 fn small_book(store: &FakeStore) -> ClaimStore {
     let limits = ClaimLimits {
         shards: 1,
--- a/cornelstand/tests/faults/fakes.rs
+++ b/cornelstand/tests/faults/fakes.rs
@@ -69,7 +69,7 @@
         state.objects.iter().map(size).collect()
     }
 
-    /// The claim objects as a book uses them.
+    /// The claim objects as a claim store uses them.
     pub(crate) fn objects(&self) -> ClaimObjects {
         let (reader, writer, deleter) = (self.clone(), self.clone(), self.clone());
         ClaimObjects {
