--- a/cornelstand/src/call.rs
+++ b/cornelstand/src/call.rs
@@ -20,7 +20,7 @@
 use crate::body::{BodyError, CallBody};
 use crate::caller::{Caller, Gone};
 use crate::claim::Recorded;
-use crate::claims::{Begun, Ticket};
+use crate::claims::{BeginOutcome, Ticket};
 use crate::config::{Class, Kind, Repeat};
 use crate::containment::{Clearance, TrialGuard};
 use crate::deliver::{Head, Leg};
@@ -114,20 +114,20 @@
             }
         };
         let problem = match begun {
-            Ok(Begun::Fresh(ticket)) => {
+            Ok(BeginOutcome::Fresh(ticket)) => {
                 self.ticket = Some(ticket);
                 return Step::Retry(Ready::Unsent(unsent), caller);
             }
-            Ok(Begun::Answered(recorded)) => match recorded.body {
+            Ok(BeginOutcome::Answered(recorded)) => match recorded.body {
                 Some(body) => {
                     caller.replay(recorded.status, &recorded.media, &body);
                     return Step::Done;
                 }
                 None => refusal::not_kept(recorded.status),
             },
-            Ok(Begun::Running) => refusal::still_running(),
-            Ok(Begun::Unknown) => refusal::outcome_unknown(),
-            Ok(Begun::Mismatch) => refusal::key_reused(unsent.refuse()),
+            Ok(BeginOutcome::Running) => refusal::still_running(),
+            Ok(BeginOutcome::Unknown) => refusal::outcome_unknown(),
+            Ok(BeginOutcome::Mismatch) => refusal::key_reused(unsent.refuse()),
             Err(error) => refusal::unclaimed(unsent.refuse(), error),
         };
         caller.refuse(&problem);
@@ -150,9 +150,9 @@
 
     async fn attempt(&mut self, ready: Ready, mut caller: Caller) -> Step {
         match self.clearance(&mut caller).await {
-            Ok(Clearance::Go) => {}
+            Ok(Clearance::Allowed) => {}
             Ok(Clearance::Refused(left)) => return self.refuse_suspect(ready, caller, left).await,
-            Ok(Clearance::Late) => {
+            Ok(Clearance::DeadlinePassed) => {
                 let problem = refusal::refused(ready, &Refusal::Deadline);
                 return self.give_up(caller, problem).await;
             }
@@ -249,7 +249,7 @@
         mut caller: Caller,
     ) -> Step {
         let endpoint_request = self.endpoint_request(&ready, address);
-        flight.sent(self.core.clock.now());
+        flight.record_sent(self.core.clock.now());
         let wait = self.first_wait(&flight);
         let origin = Origin {
             core: self.core.clone(),
@@ -267,7 +267,7 @@
         };
         match reply {
             Ok(answer) => {
-                flight.head(boot_of(answer.headers()));
+                flight.record_head(boot_of(answer.headers()));
                 let leg = Leg { flight, address };
                 self.answer(sending.sent(), leg, origin, answer, caller)
                     .await
@@ -342,7 +342,7 @@
         self.record_loss(loss, &leg);
         self.avoid(&leg.flight);
         if loss.is_broken() {
-            self.examine(&leg).await;
+            self.check_crash(&leg).await;
         }
         let Leg { flight, address } = leg;
         if !self.is_claimed() && self.core.clock.now() >= self.deadline {
--- a/cornelstand/src/deliver.rs
+++ b/cornelstand/src/deliver.rs
@@ -16,7 +16,7 @@
 use crate::body::stated_length;
 use crate::call::{Call, Step, ending_of};
 use crate::caller::{BodyWriter, Caller, Gone};
-use crate::claim::{BODY_BYTES, Recorded};
+use crate::claim::{MAX_BODY_BYTES, Recorded};
 use crate::config::Kind;
 use crate::flight::Flight;
 use crate::headers::{REQUEST_ID, forwarded};
@@ -85,7 +85,7 @@
 
     /// Keeps up to one byte more than a record holds, which marks the body as too long.
     fn push(&mut self, chunk: &[u8]) {
-        let room = (BODY_BYTES + 1).saturating_sub(self.body.len());
+        let room = (MAX_BODY_BYTES + 1).saturating_sub(self.body.len());
         self.body.extend_from_slice(&chunk[..chunk.len().min(room)]);
     }
 
@@ -213,7 +213,7 @@
             Delivered::Truncated(loss) => {
                 self.record_loss(loss, &leg);
                 if loss.is_broken() {
-                    self.examine(&leg).await;
+                    self.check_crash(&leg).await;
                 }
                 leg.flight.end(ending_of(loss));
                 let open = writer.abort(idle).await;
@@ -232,7 +232,7 @@
     fn charge(&self, body: &AnswerBody, flight: &mut Flight) {
         let cost = match self.kind {
             Kind::Model => body.tokens().unwrap_or_else(|| flight.grant().charged),
-            Kind::Plain => flight.slot_millis(self.core.clock.now()),
+            Kind::Plain => flight.elapsed_millis(self.core.clock.now()),
         };
         flight.progress(cost);
     }
@@ -240,7 +240,7 @@
     /// Returns the time left until the first byte of the answer is due.
     pub(crate) fn first_wait(&self, flight: &Flight) -> Duration {
         let now = self.core.clock.now();
-        let left = self.core.limits.first().saturating_sub(flight.slot(now));
+        let left = self.core.limits.first().saturating_sub(flight.elapsed(now));
         if self.is_claimed() {
             return left;
         }
--- a/cornelstand/src/entry.rs
+++ b/cornelstand/src/entry.rs
@@ -19,7 +19,7 @@
 use crate::attempt::Unsent;
 use crate::body::BodyLimits;
 use crate::caller::{Answer, caller_channel};
-use crate::claims::ClaimBook;
+use crate::claims::ClaimStore;
 use crate::config::Config;
 use crate::containment::SpreadCall;
 use crate::dispatch::{Census, Dispatch};
@@ -120,7 +120,7 @@
     /// Access to the dispatchers.
     pub dispatch: Dispatch,
     /// Claims of requests that may not be repeated.
-    pub claims: ClaimBook,
+    pub claims: ClaimStore,
     /// Notifies the peers of suspect requests.
     pub spread: SpreadCall,
     /// The configuration in force.
@@ -193,7 +193,7 @@
 
     /// Merges suspicions received from peers.
     pub fn learn(&self, received: Vec<Suspicion>) {
-        self.core.learn(received);
+        self.core.merge_suspicions(received);
     }
 
     /// Merges a peer's suspicion of one request and returns the merged state.
--- a/cornelstand/src/exchange.rs
+++ b/cornelstand/src/exchange.rs
@@ -67,7 +67,7 @@
     }
 
     /// The totals that changed, if a message is due and any did.
-    pub(crate) fn tell(&mut self, now: Moment, queue: &FairQueue) -> Vec<Total> {
+    pub(crate) fn take_totals(&mut self, now: Moment, queue: &FairQueue) -> Vec<Total> {
         if now < self.due || queue.is_empty() {
             return Vec::new();
         }
@@ -91,7 +91,7 @@
     }
 
     /// Adds the service that another cell has given since its last message.
-    pub(crate) fn hear(&mut self, now: Moment, totals: Totals, queue: &mut FairQueue) {
+    pub(crate) fn merge(&mut self, now: Moment, totals: Totals, queue: &mut FairQueue) {
         self.received
             .retain(|_, received| now.since(received.at) < TOTALS_LIFETIME);
         for total in totals.accounts {
@@ -112,7 +112,7 @@
                 *last = received;
             }
             if let Some(id) = id.filter(|id| is_same_epoch && queue.waiting_of(*id) > 0) {
-                queue.shift(id, change);
+                queue.add_remote_service(id, change);
             }
         }
     }
--- a/cornelstand/src/holdings.rs
+++ b/cornelstand/src/holdings.rs
@@ -17,8 +17,8 @@
 use crate::config::Config;
 use crate::dispatch::{Census, Handover, Offer, Refusal, Reply, Report};
 use crate::dispatcher::{
-    Ask, Configure, Dispatcher, EntryGone, HandOver, Hear, Inspect, Learn, Publish, Recover,
-    SetLease, SetLeaving, Tell, Withdraw,
+    AddCensus, Configure, Dispatcher, EntryGone, GetStatus, HandOver, MergeTotals, Recover,
+    SendReports, SetLease, SetLeaving, SetTotalsChannel, SubmitOffer, Withdraw,
 };
 use crate::exchange::Totals;
 use crate::keeper::EPOCH_STEP;
@@ -33,7 +33,7 @@
 
 /// Dispatchers of the owned cells. Clones share them.
 #[derive(Clone)]
-pub(crate) struct Holdings {
+pub(crate) struct OwnedCells {
     clock: Clock,
     timeline: Timeline,
     config: watch::Receiver<Arc<Config>>,
@@ -66,7 +66,7 @@
     TakenOver,
 }
 
-impl Holdings {
+impl OwnedCells {
     pub(crate) fn new(
         clock: Clock,
         timeline: Timeline,
@@ -85,7 +85,7 @@
     /// Starts the dispatcher of an acquired cell and returns how it was acquired.
     ///
     /// `entries` are the instances that may run requests of the cell.
-    pub(crate) async fn gain(
+    pub(crate) async fn acquire(
         &self,
         cell: &CellId,
         tenure: Tenure,
@@ -111,7 +111,10 @@
         let leaving = self.lock().leaving.clone();
         dispatcher.send(SetLeaving(leaving)).await.ok();
         dispatcher.send(SetLease(tenure)).await.ok();
-        dispatcher.send(Publish(self.totals.clone())).await.ok();
+        dispatcher
+            .send(SetTotalsChannel(self.totals.clone()))
+            .await
+            .ok();
         let owned = OwnedCell {
             epoch: tenure.epoch,
             dispatcher,
@@ -161,7 +164,7 @@
         let Some(owned) = self.get(&offer.cell) else {
             return Err(Refusal::NotOwner(None));
         };
-        let reply = match owned.dispatcher.send(Ask(offer)).await {
+        let reply = match owned.dispatcher.send(SubmitOffer(offer)).await {
             Ok(receiver) => receiver.await.ok(),
             Err(_) => None,
         };
@@ -176,11 +179,11 @@
     }
 
     /// Passes reports to the dispatchers of their cells.
-    pub(crate) async fn tell(&self, reports: Vec<Report>) -> Vec<Receipt> {
+    pub(crate) async fn deliver_reports(&self, reports: Vec<Report>) -> Vec<Receipt> {
         let mut receipts = Vec::with_capacity(reports.len());
         for report in reports {
             let taken = match self.get(&report.cell) {
-                Some(owned) => owned.dispatcher.send(Tell(vec![report])).await,
+                Some(owned) => owned.dispatcher.send(SendReports(vec![report])).await,
                 None => Ok(false),
             };
             receipts.push(if taken == Ok(true) {
@@ -193,16 +196,16 @@
     }
 
     /// Passes the totals of another cell of the service to an owned cell.
-    pub(crate) async fn hear(&self, cell: &CellId, totals: Totals) {
+    pub(crate) async fn deliver_totals(&self, cell: &CellId, totals: Totals) {
         if let Some(owned) = self.get(cell) {
-            owned.dispatcher.send(Hear(totals)).await.ok();
+            owned.dispatcher.send(MergeTotals(totals)).await.ok();
         }
     }
 
     /// Passes the running attempts of an entry to an owned cell.
-    pub(crate) async fn learn(&self, census: Census) {
+    pub(crate) async fn deliver_census(&self, census: Census) {
         if let Some(owned) = self.get(&census.cell) {
-            owned.dispatcher.send(Learn(census)).await.ok();
+            owned.dispatcher.send(AddCensus(census)).await.ok();
         }
     }
 
@@ -263,7 +266,7 @@
     pub(crate) async fn status(&self) -> Vec<CellStatus> {
         let mut cells = Vec::new();
         for owned in self.all() {
-            cells.extend(owned.dispatcher.send(Inspect).await.ok().flatten());
+            cells.extend(owned.dispatcher.send(GetStatus).await.ok().flatten());
         }
         cells.sort_by(|a, b| a.cell.cmp(&b.cell));
         cells
--- a/cornelstand/src/instance.rs
+++ b/cornelstand/src/instance.rs
@@ -17,12 +17,12 @@
 
 use crate::claim_route::claim_route;
 use crate::claim_shard::ClaimLimits;
-use crate::claims::{ClaimBook, ClaimObjects};
+use crate::claims::{ClaimObjects, ClaimStore};
 use crate::config::Config;
 use crate::entry::{Entry, EntryParts};
 use crate::entry_metrics::EntryMetrics;
 use crate::gossip::{Member, MemberState, Seed};
-use crate::holdings::Holdings;
+use crate::holdings::OwnedCells;
 use crate::instance_list::follow_instances;
 use crate::lease::LeaseTiming;
 use crate::link::{self, LinkSettings, Links};
@@ -45,7 +45,7 @@
 use crate::route::{Router, carry_totals};
 use crate::settings::{Settings, Times};
 use crate::status::{InstanceStatus, MemberStatus, OwnerStatus, Readiness, TrafficStatus};
-use crate::steward::{DrainCells, Steward, StopSteward};
+use crate::steward::{DrainCells, LeaseActor, StopLeaseActor};
 use crate::store::Store;
 use crate::timeline::{Timeline, Topic};
 
@@ -104,11 +104,11 @@
 pub(crate) struct Parts {
     pub(crate) me: Member,
     pub(crate) entry: Entry,
-    pub(crate) claims: ClaimBook,
-    pub(crate) holdings: Holdings,
+    pub(crate) claims: ClaimStore,
+    pub(crate) holdings: OwnedCells,
     pub(crate) membership: Address<Membership>,
     pub(crate) members: watch::Receiver<Arc<Members>>,
-    pub(crate) steward: Address<Steward>,
+    pub(crate) steward: Address<LeaseActor>,
     pub(crate) in_force: InForce,
     pub(crate) links: Links,
     pub(crate) traffic: Traffic,
@@ -239,7 +239,7 @@
         let name = parts.me.name.as_str();
         parts.timeline.record(Topic::Process, "stopped", name, None);
         tracing::info!(instance = name, cut, "stopped");
-        parts.steward.send(StopSteward).await.ok();
+        parts.steward.send(StopLeaseActor).await.ok();
         parts.membership.send(StopMembership).await.ok();
         self.callers.shutdown().await;
         self.tasks.shutdown().await;
@@ -329,7 +329,7 @@
     let (list, list_out) = watch::channel(None);
     let (applied, applied_out) = watch::channel(Arc::new(Config::default()));
     let (totals, totals_out) = mpsc::channel(TOTALS_CAPACITY);
-    let holdings = Holdings::new(clock, timeline.clone(), applied_out.clone(), totals);
+    let holdings = OwnedCells::new(clock, timeline.clone(), applied_out.clone(), totals);
     let table = Members::new(me.clone(), MemberTiming::default(), me.incarnation.0);
     let parts = membership_parts(&links, list_out, applied_out.clone(), clock, &timeline);
     let (membership, members) = Membership::spawn(table, parts);
@@ -353,7 +353,7 @@
         clock,
         timeline: &timeline,
     });
-    let steward = Steward::spawn(me.holder(), lease_timing(times), parts);
+    let steward = LeaseActor::spawn(me.holder(), lease_timing(times), parts);
     let directory = directory(&members, applied_out.clone());
     let totals_task = carry_totals(
         directory.clone(),
@@ -363,7 +363,7 @@
     );
     let router = Router::new(directory, links.clone(), holdings.clone());
     let objects = ClaimObjects::from(store.clone());
-    let claims = ClaimBook::start(&objects, clock, ClaimLimits::default());
+    let claims = ClaimStore::start(&objects, clock, ClaimLimits::default());
     let claims = claims.with_route(claim_route(&members, &links));
     let entry = Entry::new(EntryParts {
         name: settings.instance.clone(),
@@ -387,7 +387,9 @@
         configure(in_force.config(), applied, holdings.clone()).boxed(),
         holdings.clone().measure_delays().boxed(),
         ownership.clone().watch_entries().boxed(),
-        ownership.follow(changes_out, steward.clone()).boxed(),
+        ownership
+            .apply_changes(changes_out, steward.clone())
+            .boxed(),
     ];
     let parts = Parts {
         me,
@@ -412,7 +414,7 @@
 async fn configure(
     mut in_force: watch::Receiver<Arc<Config>>,
     applied: watch::Sender<Arc<Config>>,
-    holdings: Holdings,
+    holdings: OwnedCells,
 ) {
     loop {
         let config = in_force.borrow_and_update().clone();
--- a/cornelstand/src/instance_list.rs
+++ b/cornelstand/src/instance_list.rs
@@ -11,7 +11,7 @@
 
 use crate::config::Config;
 use crate::gossip::Seed;
-use crate::holdings::Holdings;
+use crate::holdings::OwnedCells;
 use crate::name::{EndpointName, InstanceName};
 
 /// Poll period of an instance that owns a cell, and the timeout of one poll.
@@ -62,7 +62,7 @@
 /// list in `latest`.
 pub(crate) async fn follow_instances(
     platform: SocketAddr,
-    holdings: Holdings,
+    holdings: OwnedCells,
     latest: watch::Sender<Option<InstanceList>>,
 ) {
     let http = reqwest::Client::builder().no_proxy().timeout(POLL_PERIOD);
--- a/cornelstand/src/lib.rs
+++ b/cornelstand/src/lib.rs
@@ -130,12 +130,12 @@
 pub use cell_message::{CellInput, CellOutput};
 pub use cell_status::{AccountStatus, CellStatus, Counts, EndpointStatus};
 pub use claim::{
-    BODY_BYTES, Claim, ClaimAnswer, ClaimCall, ClaimId, ClaimOp, ClaimShard, ClaimShardError,
-    ClaimState, ClaimWish, HexError, MEDIA_BYTES, Recorded, Token,
+    Claim, ClaimAnswer, ClaimCall, ClaimId, ClaimOp, ClaimRequest, ClaimShard, ClaimShardError,
+    ClaimState, HexError, MAX_BODY_BYTES, MAX_MEDIA_BYTES, Recorded, Token,
 };
 pub use claim_segment::SegmentRef;
-pub use claim_shard::{ClaimLimits, WriteEnd};
-pub use claims::{Begun, ClaimBook, ClaimError, ClaimObjects, ClaimRoute, Ticket};
+pub use claim_shard::{ClaimLimits, WriteResult};
+pub use claims::{BeginOutcome, ClaimError, ClaimObjects, ClaimRoute, ClaimStore, Ticket};
 pub use client::{ClientError, OperatorClient, operator_key};
 pub use command::{KEY_FILE_VARIABLE, command};
 pub use config::{Account, Centre, Class, Config, Endpoint, Kind, Repeat, Route, Service};
@@ -151,10 +151,10 @@
     Reply, Report, Running,
 };
 pub use dispatcher::{
-    Ask, Configure, Dispatcher, EntryGone, HandOver, Hear, Inspect, Learn, Publish, Recover,
-    SetLease, SetLeaving, Tell, Withdraw,
+    AddCensus, Configure, Dispatcher, EntryGone, GetStatus, HandOver, MergeTotals, Recover,
+    SendReports, SetLease, SetLeaving, SetTotalsChannel, SubmitOffer, Withdraw,
 };
-pub use endpoint::{Load, State};
+pub use endpoint::{LoadReport, State};
 pub use entry::{Entry, EntryLimits, EntryParts};
 pub use entry_metrics::EntryMetrics;
 pub use exchange::{Total, Totals};
@@ -176,7 +176,7 @@
 };
 pub use instance::{Addresses, Instance, StartError};
 pub use json::{JsonError, Place};
-pub use keeper::Keeper;
+pub use keeper::LeaseMachine;
 pub use lease::{
     Borrow, BorrowReply, Holder, Lease, LeaseEffect, LeaseInput, LeaseTiming, LeaseView, Part,
     Tenure, Yield,
@@ -219,8 +219,8 @@
 pub use sse::{EVENT_BYTES, Scanner, SseError};
 pub use status::{InstanceStatus, MemberStatus, OwnerStatus, Readiness, TrafficStatus};
 pub use steward::{
-    CellChange, DrainCells, LendCell, ListCells, MovedCell, Steward, StewardParts, StopSteward,
-    TakeOverCell,
+    CellChange, DrainCells, HandOverDone, LeaseActor, LeaseActorParts, LendHalf, ListCells,
+    StopLeaseActor, TakeOverNotice,
 };
 pub use store::{Condition, Listing, Object, ObjectKind, Store, StoreError, VALUE_BYTES, Version};
 pub use suspect::{Crash, MAX_CRASHES, Standing, Suspects, Suspicion, Trial, TrialPhase};
--- a/cornelstand/src/ownership.rs
+++ b/cornelstand/src/ownership.rs
@@ -12,12 +12,12 @@
 use xtra::Address;
 
 use crate::gossip::Member;
-use crate::holdings::{Holdings, Origin};
+use crate::holdings::{Origin, OwnedCells};
 use crate::lease::Holder;
 use crate::link::Links;
 use crate::member::Members;
 use crate::name::{CellId, Epoch, Incarnation, InstanceName};
-use crate::steward::{CellChange, MovedCell, Steward};
+use crate::steward::{CellChange, HandOverDone, LeaseActor};
 
 /// Timeout of a call to a peer.
 const PEER_TIMEOUT: Duration = Duration::from_secs(1);
@@ -29,17 +29,17 @@
 /// Dependencies for applying ownership changes.
 #[derive(Clone)]
 pub(crate) struct Ownership {
-    pub(crate) holdings: Holdings,
+    pub(crate) holdings: OwnedCells,
     pub(crate) links: Links,
     pub(crate) members: watch::Receiver<Arc<Members>>,
 }
 
 impl Ownership {
     /// Applies changes until the sender is dropped.
-    pub(crate) async fn follow(
+    pub(crate) async fn apply_changes(
         self,
         mut changes: mpsc::UnboundedReceiver<(CellId, CellChange)>,
-        steward: Address<Steward>,
+        steward: Address<LeaseActor>,
     ) {
         while let Some((cell, change)) = changes.recv().await {
             if let Some(name) = change.name() {
@@ -49,7 +49,7 @@
                 CellChange::Gained(tenure) => {
                     let entries: Vec<Member> = self.members.borrow().live().cloned().collect();
                     let names = entries.iter().map(|m| m.name.clone()).collect();
-                    let origin = self.holdings.gain(&cell, tenure, names).await;
+                    let origin = self.holdings.acquire(&cell, tenure, names).await;
                     if origin == Origin::TakenOver {
                         self.fetch_censuses(&cell, tenure.epoch, entries);
                     }
@@ -82,14 +82,14 @@
                     client.census(context, asked, epoch).await
                 });
             if let Ok(census) = census.await {
-                self.holdings.learn(census).await;
+                self.holdings.deliver_census(census).await;
                 return;
             }
             sleep(CENSUS_RETRY_DELAY).await;
         }
     }
 
-    async fn hand_over(&self, cell: CellId, next: Holder, steward: Address<Steward>) {
+    async fn hand_over(&self, cell: CellId, next: Holder, steward: Address<LeaseActor>) {
         let handover = self.holdings.release(&cell, Some(next.name.clone())).await;
         let links = self.links.clone();
         tokio::spawn(async move {
@@ -105,7 +105,7 @@
                     }
                 }
             }
-            steward.send(MovedCell(cell)).await.ok();
+            steward.send(HandOverDone(cell)).await.ok();
         });
     }
 
--- a/cornelstand/src/peers.rs
+++ b/cornelstand/src/peers.rs
@@ -11,7 +11,7 @@
 
 use crate::config::Config;
 use crate::containment::SpreadCall;
-use crate::holdings::Holdings;
+use crate::holdings::OwnedCells;
 use crate::instance_list::InstanceList;
 use crate::link::Links;
 use crate::member::Members;
@@ -20,7 +20,7 @@
 use crate::name::CellId;
 use crate::revisions::RevisionParts;
 use crate::route::{Directory, Owner};
-use crate::steward::{CellChange, StewardParts};
+use crate::steward::{CellChange, LeaseActorParts};
 use crate::store::Store;
 use crate::timeline::Timeline;
 
@@ -65,7 +65,7 @@
 pub(crate) struct StewardDeps<'a> {
     pub(crate) links: &'a Links,
     pub(crate) store: &'a Store,
-    pub(crate) holdings: &'a Holdings,
+    pub(crate) holdings: &'a OwnedCells,
     pub(crate) changes: mpsc::UnboundedSender<(CellId, CellChange)>,
     pub(crate) members: watch::Receiver<Arc<Members>>,
     pub(crate) membership: Address<Membership>,
@@ -74,15 +74,15 @@
     pub(crate) timeline: &'a Timeline,
 }
 
-/// Steward dependencies. Ownership changes go to `changes`.
-pub(crate) fn steward_parts(deps: StewardDeps<'_>) -> StewardParts {
+/// Dependencies of the lease actor. Ownership changes go to `changes`.
+pub(crate) fn steward_parts(deps: StewardDeps<'_>) -> LeaseActorParts {
     let changes = deps.changes;
     let (borrow_links, yield_links, holdings) = (
         deps.links.clone(),
         deps.links.clone(),
         deps.holdings.clone(),
     );
-    StewardParts {
+    LeaseActorParts {
         store: deps.store.clone(),
         borrow: Arc::new(move |to, borrow| {
             let links = borrow_links.clone();
@@ -94,7 +94,7 @@
             }
             .boxed()
         }),
-        word: Arc::new(move |to, word| {
+        notify_successor: Arc::new(move |to, word| {
             let links = yield_links.clone();
             async move {
                 let reply = links.call(to.address, PEER_TIMEOUT, |client, context| async move {
@@ -104,7 +104,7 @@
             }
             .boxed()
         }),
-        tell: Arc::new(move |cell, change| {
+        notify_dispatcher: Arc::new(move |cell, change| {
             // The receiver ends only with the process.
             changes.send((cell, change)).ok();
         }),
--- a/cornelstand/tests/agree/ring.rs
+++ b/cornelstand/tests/agree/ring.rs
@@ -4,8 +4,8 @@
 use std::time::Duration;
 
 use cornelstand::{
-    Borrow, BorrowReply, CellId, Condition, Epoch, Holder, Incarnation, Keeper, Lease, LeaseEffect,
-    LeaseInput, LeaseTiming, LeaseView, Moment, Part, Tenure, Version, Yield, micros,
+    Borrow, BorrowReply, CellId, Condition, Epoch, Holder, Incarnation, Lease, LeaseEffect,
+    LeaseInput, LeaseMachine, LeaseTiming, LeaseView, Moment, Part, Tenure, Version, Yield, micros,
 };
 
 /// Time between two steps.
@@ -45,7 +45,7 @@
 
 /// One instance.
 pub(crate) struct Node {
-    pub(crate) keeper: Keeper,
+    pub(crate) machine: LeaseMachine,
     pub(crate) holder: Holder,
     pub(crate) is_up: bool,
     pub(crate) paused_until: u64,
@@ -114,7 +114,7 @@
             address: ([127, 0, 0, 1], 7000 + u16::try_from(index).unwrap_or(0)).into(),
         };
         Node {
-            keeper: Keeper::new(holder.clone(), cell(), LeaseTiming::default()),
+            machine: LeaseMachine::new(holder.clone(), cell(), LeaseTiming::default()),
             holder,
             is_up: true,
             paused_until: 0,
@@ -152,7 +152,7 @@
     ) {
         let now = self.now(index);
         let mut out = Vec::new();
-        self.nodes[index].keeper.handle(now, input, &mut out);
+        self.nodes[index].machine.handle(now, input, &mut out);
         self.carry_out(index, out, fate);
     }
 
@@ -174,7 +174,7 @@
                 LeaseEffect::HandOver { .. } => {
                     self.enqueue(index, 2, Item::Result(LeaseInput::HandedOver), None);
                 }
-                LeaseEffect::Yield { to, word } => self.enqueue_yield(index, &to, word, fate()),
+                LeaseEffect::Yield { to, notice } => self.enqueue_yield(index, &to, notice, fate()),
                 LeaseEffect::Borrow { to, borrow, sent } => {
                     self.enqueue_borrow(index, &to, *borrow, sent, fate());
                 }
@@ -238,11 +238,11 @@
         self.cut.contains(&(a.min(b), a.max(b)))
     }
 
-    fn enqueue_yield(&mut self, index: usize, to: &Holder, word: Yield, fate: Fate) {
+    fn enqueue_yield(&mut self, index: usize, to: &Holder, notice: Yield, fate: Fate) {
         let target = self.nodes.iter().position(|n| n.holder == *to);
         let target = target.filter(|t| !self.is_cut(index, *t));
         if let (Some(target), Fate::Arrive(at)) = (target, fate) {
-            let input = LeaseInput::TakeOver(word);
+            let input = LeaseInput::TakeOver(notice);
             self.enqueue(target, at, Item::Result(input), None);
         }
     }
@@ -298,7 +298,7 @@
                 let now = self.now(delivery.node);
                 let mut out = Vec::new();
                 let reply = self.nodes[delivery.node]
-                    .keeper
+                    .machine
                     .lend(now, &borrow, &mut out);
                 self.carry_out(delivery.node, out, fate);
                 let me = self.nodes[delivery.node].holder.clone();
@@ -346,8 +346,8 @@
         };
         let holders = self.holders();
         LeaseView {
-            lost: holders.iter().filter(is_lost).cloned().collect(),
-            gone: self.gone(index),
+            unreachable: holders.iter().filter(is_lost).cloned().collect(),
+            ended: self.gone(index),
             ranked,
         }
     }
--- a/cornelstand/tests/entry/suspects.rs
+++ b/cornelstand/tests/entry/suspects.rs
@@ -140,7 +140,9 @@
         let mut instances: Vec<Instance> = Vec::new();
         instances.resize_with(INSTANCES, Instance::default);
         for instance in &mut instances {
-            instance.suspects.record_crash(at(0), REQUEST, crash("first"));
+            instance
+                .suspects
+                .record_crash(at(0), REQUEST, crash("first"));
         }
         Self {
             instances,
@@ -175,7 +177,9 @@
                 let instance = &mut self.instances[i];
                 if std::mem::take(&mut instance.is_running) {
                     self.crashes += 1;
-                    instance.suspects.record_crash(at(0), REQUEST, crash(&endpoint));
+                    instance
+                        .suspects
+                        .record_crash(at(0), REQUEST, crash(&endpoint));
                     let ended = TrialPhase::Ended;
                     instance.suspects.set_phase(at(0), REQUEST, &name(i), ended);
                 }
--- a/cornelstand/tests/faults/instance.rs
+++ b/cornelstand/tests/faults/instance.rs
@@ -5,9 +5,9 @@
 use std::time::Duration;
 
 use cornelstand::{
-    Ask, AttemptId, CellId, ClaimBook, ClaimLimits, ClaimObjects, Clock, Dispatch, Dispatcher,
-    Entry, EntryLimits, EntryMetrics, EntryParts, InstanceName, Offer, Reply, Report, Tell,
-    Timeline, Withdraw, WriteEnd,
+    AttemptId, CellId, ClaimLimits, ClaimObjects, ClaimStore, Clock, Dispatch, Dispatcher, Entry,
+    EntryLimits, EntryMetrics, EntryParts, InstanceName, Offer, Reply, Report, SendReports,
+    SubmitOffer, Timeline, Withdraw, WriteResult,
 };
 use futures::FutureExt;
 use tokio::net::TcpListener;
@@ -35,8 +35,8 @@
     ClaimLimits {
         shards: 1,
         gap: Duration::from_millis(5),
-        patience: Duration::from_secs(1),
-        window: Duration::from_secs(10),
+        begin_timeout: Duration::from_secs(1),
+        send_window: Duration::from_secs(10),
         ..ClaimLimits::default()
     }
 }
@@ -48,7 +48,7 @@
     let entry = Entry::new(EntryParts {
         name: name.clone(),
         dispatch: dispatch(world, node),
-        claims: ClaimBook::start(&objects(world, node), clock, claim_limits()),
+        claims: ClaimStore::start(&objects(world, node), clock, claim_limits()),
         spread: Arc::new(|_| async { Vec::new() }.boxed()),
         config: world.config.subscribe(),
         clock,
@@ -126,10 +126,10 @@
 }
 
 async fn ask(world: &World, cell: &Address<Dispatcher>, offer: &Offer) -> Reply {
-    let reply = cell.send(Ask(offer.clone())).await.unwrap();
+    let reply = cell.send(SubmitOffer(offer.clone())).await.unwrap();
     if world.is_repeating() {
         // The copy replaces the one who waits, as a sender's second try does.
-        let again = cell.send(Ask(offer.clone())).await.unwrap();
+        let again = cell.send(SubmitOffer(offer.clone())).await.unwrap();
         drop(reply);
         return again.await.unwrap();
     }
@@ -143,11 +143,11 @@
         let act = world.reach(Step::Reported, node).await;
         lost(act).await;
         if act == Act::Repeat {
-            drop(world.cell().send(Tell(vec![report.clone()])).await);
+            drop(world.cell().send(SendReports(vec![report.clone()])).await);
         }
     }
     world.alive_or_stuck(node).await;
-    drop(world.cell().send(Tell(vec![report])).await);
+    drop(world.cell().send(SendReports(vec![report])).await);
 }
 
 /// Waits until a lost message is sent again.
@@ -193,13 +193,13 @@
 }
 
 /// Writes a claim object over a link that may fail.
-async fn write<F: Future<Output = WriteEnd>>(act: Act, put: impl Fn() -> F) -> WriteEnd {
+async fn write<F: Future<Output = WriteResult>>(act: Act, put: impl Fn() -> F) -> WriteResult {
     match act {
-        Act::Cut => WriteEnd::NotWritten,
+        Act::Cut => WriteResult::NotWritten,
         Act::Silent => {
             put().await;
             sleep(Duration::from_millis(200)).await;
-            WriteEnd::Unknown
+            WriteResult::Unknown
         }
         Act::Repeat => {
             let end = put().await;
