--- a/cornelstand/src/lib.rs
+++ b/cornelstand/src/lib.rs
@@ -1,9 +1,9 @@
 //! A router fleet for client accounts that share model and application capacity fairly.
 //!
 //! Every instance of the fleet runs the same daemon between callers and endpoints. An *entry*
-//! takes a caller's request, asks the *dispatcher* of one of the service's *cells* for an
-//! endpoint, streams the answer and reports the real cost. Decisions are plain state machines
-//! that take the time and an event and return effects; actors and sockets are around them.
+//! accepts a caller's request, asks the *dispatcher* of one of the service's *cells* for an
+//! endpoint, streams the answer and reports the actual cost. Decisions are made by state machines
+//! without I/O that map the time and an event to effects; actors and sockets drive them.
 //!
 //! ```
 //! use cornelstand::{Class, Config, Service};
@@ -175,7 +175,7 @@
     bearer_key,
 };
 pub use instance::{Addresses, Instance, StartError};
-pub use json::{JsonError, Place};
+pub use json::{JsonError, Position};
 pub use keeper::Keeper;
 pub use lease::{
     Borrow, BorrowReply, Holder, Lease, LeaseEffect, LeaseInput, LeaseTiming, LeaseView, Part,
