--- a/cornelstand/src/settings.rs
+++ b/cornelstand/src/settings.rs
@@ -1,8 +1,8 @@
-//! Settings of one process: where it is and whom it talks to.
+//! Settings of one process: identity, addresses and limits.
 //!
-//! Settings are JSON with comments. They say nothing about accounts, shares, services, endpoints
-//! or data centres of endpoints: those come from release notes. Unknown keys are refused, and
-//! every value is checked before anything starts.
+//! Settings are JSON with comments. Accounts, shares, services, endpoints and data centres of
+//! endpoints come from release notes instead. Unknown keys are rejected, and all values are
+//! validated before anything starts.
 
 use std::net::{IpAddr, Ipv4Addr, SocketAddr};
 use std::time::Duration;
@@ -15,9 +15,9 @@
 use crate::json::{JsonError, parse_json};
 use crate::name::{CentreName, InstanceName, is_name};
 
-/// Largest settings file, in bytes.
+/// Maximum settings file size, in bytes.
 pub const SETTINGS_BYTES: usize = 64 << 10;
-/// Shortest fleet key, in characters.
+/// Minimum fleet key length, in characters.
 pub const FLEET_KEY_CHARS: usize = 16;
 
 /// Error in a settings file.
@@ -26,10 +26,10 @@
     /// The text is not JSON with comments, or has an unknown or missing key or a wrong type.
     #[snafu(display("{source}"))]
     Syntax {
-        /// Error with its place.
+        /// Parse error with its position.
         source: JsonError,
     },
-    /// A value is outside what is allowed.
+    /// A value is not allowed.
     #[snafu(display("{field}: {message}"))]
     Value {
         /// Path of the field.
@@ -62,16 +62,16 @@
     /// Fleet addresses of other instances, used until the instance list answers.
     #[serde(default)]
     pub seeds: Vec<Peer>,
-    /// Times.
+    /// Durations.
     #[serde(default)]
     pub times: Times,
-    /// Bounds on memory.
+    /// Memory limits.
     #[serde(default)]
     pub limits: Limits,
     /// Limits towards callers and endpoints.
     #[serde(default)]
     pub entry: EntryLimits,
-    /// Logs.
+    /// Logging.
     #[serde(default)]
     pub log: Log,
 }
@@ -102,7 +102,7 @@
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct Keys {
-    /// Secret that instances prove to each other.
+    /// Shared secret that authenticates instances.
     #[debug("(secret)")]
     pub fleet: String,
     /// SHA-256 hash of the operators' key, in hexadecimal.
@@ -119,17 +119,17 @@
     pub address: SocketAddr,
 }
 
-/// Times, each in milliseconds.
+/// Durations, in milliseconds.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(default, deny_unknown_fields, rename_all = "kebab-case")]
 pub struct Times {
-    /// Answer of the object API.
+    /// Timeout of an object API call.
     pub store: u64,
-    /// Silence after which a link is replaced.
+    /// Connect and heartbeat timeout of a link.
     pub link: u64,
-    /// Length of a cell's lease.
+    /// Duration of a cell's lease.
     pub lease: u64,
-    /// Longest planned stop.
+    /// Maximum duration of a drain.
     pub drain: u64,
 }
 
@@ -144,13 +144,13 @@
     }
 }
 
-/// Bounds on memory.
+/// Memory limits.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(default, deny_unknown_fields, rename_all = "kebab-case")]
 pub struct Limits {
-    /// Events kept for the time line.
+    /// Events kept for the timeline.
     pub events: usize,
-    /// Bytes of one message between instances.
+    /// Maximum bytes of a message between instances.
     pub frame_bytes: usize,
 }
 
@@ -163,13 +163,13 @@
     }
 }
 
-/// Logs.
+/// Logging.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Log {
-    /// Form of a line.
+    /// Format of a line.
     pub format: LogFormat,
-    /// Filter in the form of the `tracing` environment filter.
+    /// Filter in the syntax of `tracing_subscriber::EnvFilter`.
     pub level: String,
 }
 
@@ -182,22 +182,22 @@
     }
 }
 
-/// Form of a log line.
+/// Format of a log line.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum LogFormat {
-    /// For people.
+    /// Human-readable text.
     Text,
-    /// One JSON object a line.
+    /// One JSON object per line.
     Json,
 }
 
 impl Settings {
-    /// Parses and checks settings.
+    /// Parses and validates settings.
     ///
     /// # Errors
     ///
-    /// [`SettingsError`] with the place or the field of the first error.
+    /// [`SettingsError`] with the position or the field of the first error.
     pub fn parse(text: &str) -> Result<Self, SettingsError> {
         if text.len() > SETTINGS_BYTES {
             return TooLargeSnafu { bytes: text.len() }.fail();
@@ -208,13 +208,13 @@
     }
 
     fn check(&self) -> Result<(), SettingsError> {
-        name("instance", self.instance.as_str())?;
-        name("centre", self.centre.as_str())?;
+        check_name("instance", self.instance.as_str())?;
+        check_name("centre", self.centre.as_str())?;
         for seed in &self.seeds {
-            name("seeds.instance", seed.instance.as_str())?;
+            check_name("seeds.instance", seed.instance.as_str())?;
         }
-        reachable("platform.objects", self.platform.objects)?;
-        reachable("platform.instances", self.platform.instances)?;
+        check_reachable("platform.objects", self.platform.objects)?;
+        check_reachable("platform.instances", self.platform.instances)?;
         ensure(
             "keys.fleet",
             self.keys.fleet.chars().count() >= FLEET_KEY_CHARS,
@@ -237,13 +237,15 @@
             operators,
             fleet,
         } = self.listen;
-        let clash = |a: SocketAddr, b: SocketAddr| a.port() != 0 && a == b;
+        let conflict = |a: SocketAddr, b: SocketAddr| a.port() != 0 && a == b;
         ensure(
             "listen",
-            !clash(callers, operators) && !clash(callers, fleet) && !clash(operators, fleet),
+            !conflict(callers, operators)
+                && !conflict(callers, fleet)
+                && !conflict(operators, fleet),
             "two addresses are the same",
         )?;
-        // Other instances are told this address, so it has to name one machine.
+        // Peers connect to this address, so it cannot be a wildcard.
         ensure(
             "listen.fleet",
             !fleet.ip().is_unspecified(),
@@ -254,15 +256,15 @@
 
 impl Times {
     fn check(&self) -> Result<(), SettingsError> {
-        let range = [
+        let ranges = [
             ("times.store", self.store, 10, 60_000),
             ("times.link", self.link, 100, 60_000),
             ("times.lease", self.lease, 500, 600_000),
             ("times.drain", self.drain, 100, 86_400_000),
         ];
-        for (field, value, least, most) in range {
+        for (field, value, min, max) in ranges {
             let message = "outside the allowed range of milliseconds";
-            ensure(field, (least..=most).contains(&value), message)?;
+            ensure(field, (min..=max).contains(&value), message)?;
         }
         ensure(
             "times.store",
@@ -271,7 +273,7 @@
         )
     }
 
-    /// Time as a duration.
+    /// Converts milliseconds to a duration.
     #[must_use]
     pub fn duration(millis: u64) -> Duration {
         Duration::from_millis(millis)
@@ -280,14 +282,14 @@
 
 impl Limits {
     fn check(&self) -> Result<(), SettingsError> {
-        let range = [
+        let ranges = [
             ("limits.events", self.events, 1, 1 << 20),
             ("limits.frame-bytes", self.frame_bytes, 64 << 10, 64 << 20),
         ];
-        for (field, value, least, most) in range {
+        for (field, value, min, max) in ranges {
             ensure(
                 field,
-                (least..=most).contains(&value),
+                (min..=max).contains(&value),
                 "outside the allowed range",
             )?;
         }
@@ -296,7 +298,7 @@
 }
 
 fn check_entry(entry: &EntryLimits) -> Result<(), SettingsError> {
-    let range = [
+    let ranges = [
         ("entry.header-ms", entry.header_ms, 100, 600_000),
         ("entry.body-ms", entry.body_ms, 100, 3_600_000),
         ("entry.first-ms", entry.first_ms, 100, 3_600_000),
@@ -305,11 +307,11 @@
         ("entry.deadline-ms", entry.deadline_ms, 100, 86_400_000),
         ("entry.body-bytes", entry.body_bytes, 0, 1 << 32),
     ];
-    for (field, value, least, most) in range {
+    for (field, value, min, max) in ranges {
         let message = "outside the allowed range";
-        ensure(field, (least..=most).contains(&value), message)?;
+        ensure(field, (min..=max).contains(&value), message)?;
     }
-    let range = [
+    let ranges = [
         ("entry.header-bytes", entry.header_bytes, 1 << 10, 1 << 20),
         ("entry.replay-bytes", entry.replay_bytes, 0, 64 << 20),
         (
@@ -320,35 +322,36 @@
         ),
         ("entry.connections", entry.connections, 1, 1 << 20),
     ];
-    for (field, value, least, most) in range {
+    for (field, value, min, max) in ranges {
         let message = "outside the allowed range";
-        ensure(field, (least..=most).contains(&value), message)?;
+        ensure(field, (min..=max).contains(&value), message)?;
     }
     Ok(())
 }
 
-fn ensure(field: &'static str, holds: bool, message: &str) -> Result<(), SettingsError> {
-    if holds {
+fn ensure(field: &'static str, is_valid: bool, message: &str) -> Result<(), SettingsError> {
+    if is_valid {
         return Ok(());
     }
     ValueSnafu { field, message }.fail()
 }
 
-fn name(field: &'static str, text: &str) -> Result<(), SettingsError> {
+fn check_name(field: &'static str, text: &str) -> Result<(), SettingsError> {
     let message = "not 1 to 63 lowercase letters, digits, dots, hyphens or underscores";
     ensure(field, is_name(text), message)
 }
 
-fn reachable(field: &'static str, address: SocketAddr) -> Result<(), SettingsError> {
-    let is_any = address.ip() == IpAddr::V4(Ipv4Addr::UNSPECIFIED) || address.ip().is_unspecified();
+fn check_reachable(field: &'static str, address: SocketAddr) -> Result<(), SettingsError> {
+    let is_unspecified =
+        address.ip() == IpAddr::V4(Ipv4Addr::UNSPECIFIED) || address.ip().is_unspecified();
     ensure(
         field,
-        !is_any && address.port() != 0,
+        !is_unspecified && address.port() != 0,
         "not an address that can be reached",
     )
 }
 
-/// Tells whether `text` is a SHA-256 hash in hexadecimal.
+/// Whether `text` is a SHA-256 hash in hexadecimal.
 #[must_use]
 pub fn is_hash(text: &str) -> bool {
     text.len() == 64 && text.bytes().all(|b| b.is_ascii_hexdigit())
