--- a/cornelstand/src/operator.rs
+++ b/cornelstand/src/operator.rs
@@ -1,7 +1,7 @@
-//! HTTP for operators: probes, metrics, status, time line and notes.
+//! HTTP interface for operators: probes, metrics, status, timeline and notes.
 //!
-//! Probes and metrics need no key. Everything else needs the operators' key, of which the
-//! instance knows only the hash.
+//! Probes and metrics need no key. All other calls need the operators' key, of which the
+//! instance stores only the hash.
 
 use std::future::Future;
 use std::sync::Arc;
@@ -20,19 +20,19 @@
 use crate::auth::key_hash;
 use crate::headers::bearer_key;
 
-/// Most bytes of a note or a declared state.
+/// Maximum bytes of a note or a declared state.
 pub const NOTE_BYTES: u64 = 8 << 20;
 
-/// What an operator asks for.
+/// Call of an operator.
 #[derive(Clone, Debug, Display, Eq, PartialEq)]
 pub(crate) enum Query {
     /// Whether the process runs.
     #[display("livez")]
     Live,
-    /// Whether the instance takes requests.
+    /// Whether the instance accepts requests.
     #[display("readyz")]
     Ready,
-    /// Metrics in the text format of prometheus.
+    /// Metrics in the Prometheus text format.
     #[display("metrics")]
     Metrics,
     /// Status of this instance.
@@ -63,7 +63,7 @@
         !matches!(self, Self::Live | Self::Ready | Self::Metrics)
     }
 
-    fn read(method: &Method, path: &str, body: Bytes) -> Option<Self> {
+    fn parse(method: &Method, path: &str, body: Bytes) -> Option<Self> {
         Some(match (method.as_str(), path) {
             ("GET", "/livez") => Self::Live,
             ("GET", "/readyz") => Self::Ready,
@@ -88,10 +88,10 @@
     pub(crate) body: Vec<u8>,
 }
 
-/// Error as operators get it.
+/// Body of an error response.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct OperatorError {
-    /// What went wrong, with the place in a note if there is one.
+    /// What went wrong, with the position in a note if any.
     pub error: String,
 }
 
@@ -125,7 +125,7 @@
         }
     }
 
-    fn response(self) -> Response {
+    fn into_response(self) -> Response {
         let mut response = Response::new(self.body.into());
         *response.status_mut() = self.status;
         let media = http::HeaderValue::from_static(self.media);
@@ -137,18 +137,18 @@
 }
 
 /// Answers one query.
-pub(crate) type Answerer = Arc<dyn Fn(Query) -> BoxFuture<'static, Answer> + Send + Sync>;
+pub(crate) type Responder = Arc<dyn Fn(Query) -> BoxFuture<'static, Answer> + Send + Sync>;
 
-/// Serves operators at `listener` until `shutdown`. `hash` is that of the operators' key.
+/// Serves operators at `listener` until `shutdown`, with the `hash` of their key.
 pub(crate) async fn serve(
     listener: TcpListener,
     hash: String,
-    answerer: Answerer,
+    responder: Responder,
     shutdown: impl Future<Output = ()> + Send + 'static,
 ) {
-    let desk = Desk {
+    let service = OperatorService {
         hash: hash.to_ascii_lowercase().into(),
-        answerer,
+        responder,
     };
     let body = warp::body::content_length_limit(NOTE_BYTES)
         .or(no_body())
@@ -159,8 +159,12 @@
         .and(warp::header::headers_cloned())
         .and(body)
         .then(move |method, path: FullPath, headers, body| {
-            let desk = desk.clone();
-            async move { desk.respond(&method, path.as_str(), &headers, body).await }
+            let service = service.clone();
+            async move {
+                service
+                    .respond(&method, path.as_str(), &headers, body)
+                    .await
+            }
         });
     warp::serve(route)
         .incoming(listener)
@@ -169,14 +173,14 @@
         .await;
 }
 
-/// What each call of an operator needs.
+/// Shared state of the operator interface.
 #[derive(Clone)]
-struct Desk {
+struct OperatorService {
     hash: Arc<str>,
-    answerer: Answerer,
+    responder: Responder,
 }
 
-impl Desk {
+impl OperatorService {
     async fn respond(
         &self,
         method: &Method,
@@ -184,18 +188,18 @@
         headers: &HeaderMap,
         body: Bytes,
     ) -> Response {
-        let Some(query) = Query::read(method, path, body) else {
-            return Answer::error(StatusCode::NOT_FOUND, "no such call").response();
+        let Some(query) = Query::parse(method, path, body) else {
+            return Answer::error(StatusCode::NOT_FOUND, "no such call").into_response();
         };
         if query.needs_key() && !is_operator(headers, &self.hash) {
             let error = "the operators' key is missing or wrong";
-            return Answer::error(StatusCode::UNAUTHORIZED, error).response();
+            return Answer::error(StatusCode::UNAUTHORIZED, error).into_response();
         }
-        (self.answerer)(query).await.response()
+        (self.responder)(query).await.into_response()
     }
 }
 
-/// Passes calls that announce no body.
+/// Passes GET requests, which carry no `Content-Length`.
 fn no_body() -> impl Filter<Extract = (), Error = warp::Rejection> + Clone {
     warp::get()
 }
@@ -204,6 +208,6 @@
     let Ok(Some(key)) = bearer_key(headers) else {
         return false;
     };
-    let digits = key_hash(key);
-    digits.as_bytes().ct_eq(hash.as_bytes()).into()
+    let key_hash = key_hash(key);
+    key_hash.as_bytes().ct_eq(hash.as_bytes()).into()
 }
