--- a/cornelstand/src/answers.rs
+++ b/cornelstand/src/answers.rs
@@ -1,4 +1,4 @@
-//! What an instance answers to its peers and to operators.
+//! Answers of an instance to its peers and to operators.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -20,14 +20,14 @@
 use crate::steward::{LendCell, TakeOverCell};
 use crate::timeline::{Event, merge};
 
-/// Time for the answer of one instance to a question about the fleet.
-const PEER_WAIT: Duration = Duration::from_secs(2);
+/// Timeout of a call to one instance when the whole fleet is queried.
+const PEER_TIMEOUT: Duration = Duration::from_secs(2);
 
 impl Parts {
-    /// What this instance does with calls from its peers.
+    /// Handlers of calls from peers.
     pub(crate) fn handlers(&self) -> Handlers {
         let parts = self.clone();
-        macro_rules! answer {
+        macro_rules! handler {
             (|$parts:ident, $in:pat_param| $body:expr) => {{
                 let parts = parts.clone();
                 Arc::new(move |$in| {
@@ -36,25 +36,25 @@
                 })
             }};
         }
-        let pinged = parts.timeline.clone();
+        let clock = parts.timeline.clone();
         let events = parts.timeline.clone();
         Handlers {
             ping: Arc::new(move |stamp| {
-                pinged.observe(stamp);
-                pinged.stamp()
+                clock.observe(stamp);
+                clock.stamp()
             }),
-            offer: answer!(|parts, offer| parts.holdings.offer(offer).await),
-            withdraw: answer!(|parts, (cell, attempt)| {
+            offer: handler!(|parts, offer| parts.holdings.offer(offer).await),
+            withdraw: handler!(|parts, (cell, attempt)| {
                 parts.holdings.withdraw(&cell, attempt).await;
             }),
-            tell: answer!(|parts, reports| parts.holdings.tell(reports).await),
-            hear: answer!(|parts, (cell, totals)| parts.holdings.hear(&cell, totals).await),
-            census: answer!(|parts, (cell, _)| parts.entry.census(&cell)),
-            hand_over: answer!(|parts, handover| {
+            tell: handler!(|parts, reports| parts.holdings.tell(reports).await),
+            hear: handler!(|parts, (cell, totals)| parts.holdings.hear(&cell, totals).await),
+            census: handler!(|parts, (cell, _)| parts.entry.census(&cell)),
+            hand_over: handler!(|parts, handover| {
                 parts.holdings.receive(handover);
                 true
             }),
-            gossip: answer!(|parts, gossip| {
+            gossip: handler!(|parts, gossip| {
                 parts
                     .membership
                     .send(AnswerGossip(gossip))
@@ -62,20 +62,20 @@
                     .ok()
                     .flatten()
             }),
-            borrow: answer!(|parts, borrow| parts
+            borrow: handler!(|parts, borrow| parts
                 .steward
                 .send(LendCell(borrow))
                 .await
                 .ok()
                 .flatten()),
-            yield_cell: answer!(|parts, word| {
-                parts.steward.send(TakeOverCell(word)).await.ok();
+            yield_cell: handler!(|parts, request| {
+                parts.steward.send(TakeOverCell(request)).await.ok();
             }),
-            suspect: answer!(|parts, suspicion| parts.entry.exchange(suspicion)),
-            claim: answer!(|parts, call| parts.claims.serve(call).await.ok()),
-            config: answer!(|parts, known| parts.in_force.update(known)),
+            suspect: handler!(|parts, suspicion| parts.entry.exchange(suspicion)),
+            claim: handler!(|parts, call| parts.claims.serve(call).await.ok()),
+            config: handler!(|parts, known| parts.in_force.update(known)),
             events: Arc::new(move || events.events()),
-            status: answer!(|parts, ()| parts.status().await),
+            status: handler!(|parts, ()| parts.status().await),
         }
     }
 
@@ -112,39 +112,39 @@
         }
     }
 
-    /// Status of all live instances that answer, this one first.
+    /// Status of all live instances that answer, starting with this one.
     async fn fleet_status(&self) -> Vec<InstanceStatus> {
-        let asked = self.peers().into_iter().map(|address| async move {
+        let calls = self.peers().into_iter().map(|address| async move {
             let call = self
                 .links
-                .call(address, PEER_WAIT, |client, context| async move {
+                .call(address, PEER_TIMEOUT, |client, context| async move {
                     client.status(context).await
                 });
             call.await.ok()
         });
-        let others = join_all(asked).await;
+        let others = join_all(calls).await;
         let mut all = vec![self.status().await];
         all.extend(others.into_iter().flatten());
         all
     }
 
-    /// Events of all live instances that answer, in one order.
+    /// Events of all live instances that answer, merged by stamp.
     async fn fleet_events(&self) -> Vec<Event> {
-        let asked = self.peers().into_iter().map(|address| async move {
+        let calls = self.peers().into_iter().map(|address| async move {
             let call = self
                 .links
-                .call(address, PEER_WAIT, |client, context| async move {
+                .call(address, PEER_TIMEOUT, |client, context| async move {
                     client.events(context).await
                 });
             call.await.ok()
         });
-        let others = join_all(asked).await;
-        let mut rings = vec![self.timeline.events()];
-        rings.extend(others.into_iter().flatten());
-        merge(rings)
+        let others = join_all(calls).await;
+        let mut event_lists = vec![self.timeline.events()];
+        event_lists.extend(others.into_iter().flatten());
+        merge(event_lists)
     }
 
-    /// Which instance has which revision in force, as far as this one knows.
+    /// Revision in force on each instance, as known to this one.
     fn revisions(&self) -> Vec<MemberStatus> {
         let members = self.members.borrow();
         let running = members.all().filter(|m| !m.state.has_ended());
@@ -162,7 +162,7 @@
         };
         match self.accept(&note).await {
             Ok(acceptance) => Answer::json(&acceptance),
-            Err(error) => Answer::error(refused(&error), error.to_string()),
+            Err(error) => Answer::error(refusal_status(&error), error.to_string()),
         }
     }
 
@@ -178,7 +178,7 @@
     }
 }
 
-fn refused(error: &PublishError) -> StatusCode {
+fn refusal_status(error: &PublishError) -> StatusCode {
     match error {
         PublishError::Race { .. } => StatusCode::CONFLICT,
         PublishError::Unfit { .. } => StatusCode::UNPROCESSABLE_ENTITY,
