--- a/cornelstand/src/client.rs
+++ b/cornelstand/src/client.rs
@@ -1,4 +1,4 @@
-//! Calls of an operator to an instance.
+//! Client of an instance's operator interface.
 
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
@@ -18,26 +18,26 @@
 use crate::status::{InstanceStatus, MemberStatus};
 use crate::timeline::Event;
 
-/// Time for one answer.
-const WAIT: Duration = Duration::from_secs(30);
-/// Time between two looks at which revision is in force.
-const LOOK: Duration = Duration::from_millis(200);
+/// Timeout of one call.
+const CALL_TIMEOUT: Duration = Duration::from_secs(30);
+/// Interval at which the revisions in force are polled.
+const POLL_INTERVAL: Duration = Duration::from_millis(200);
 
 /// Error of a call to an instance.
 #[derive(Debug, Snafu)]
 pub enum ClientError {
-    /// No key was named.
-    #[snafu(display("name the operators' key file by --key-file or {KEY_FILE_VARIABLE}"))]
+    /// No key file is given.
+    #[snafu(display("no operators' key: name its file with --key-file or {KEY_FILE_VARIABLE}"))]
     NoKey,
     /// The key file cannot be read.
     #[snafu(display("cannot read the key file {}", path.display()))]
     KeyFile {
         /// The file.
         path: PathBuf,
-        /// Error of the system.
+        /// I/O error.
         source: std::io::Error,
     },
-    /// No answer came.
+    /// No valid answer came.
     #[snafu(display("no answer from {address}"))]
     NoAnswer {
         /// The instance.
@@ -50,16 +50,16 @@
     Refused {
         /// Status of the answer.
         status: StatusCode,
-        /// The reason that the instance gave.
+        /// Reason given by the instance.
         error: String,
     },
-    /// The revision is not in force everywhere in time.
-    #[snafu(display("revision {revision} is not yet in force on {}", waiting.join(", ")))]
+    /// The revision is not in force on every instance in time.
+    #[snafu(display("revision {revision} is not yet in force on {}", behind.join(", ")))]
     NotInForce {
         /// The revision.
         revision: Revision,
-        /// Instances that have an earlier one.
-        waiting: Vec<String>,
+        /// Instances with an earlier revision.
+        behind: Vec<String>,
     },
 }
 
@@ -72,14 +72,17 @@
 }
 
 impl OperatorClient {
-    /// A client for the instance at `address` with the operators' `key`.
+    /// Creates a client for the instance at `address` with the operators' `key`.
     ///
     /// # Panics
     ///
-    /// If the HTTP client cannot be set up, which takes no input.
+    /// If the HTTP client cannot be created, which depends on no input.
     #[must_use]
     pub fn new(address: SocketAddr, key: String) -> Self {
-        let http = reqwest::Client::builder().no_proxy().timeout(WAIT).build();
+        let http = reqwest::Client::builder()
+            .no_proxy()
+            .timeout(CALL_TIMEOUT)
+            .build();
         Self {
             http: http.expect("an HTTP client without TLS needs no system resources"),
             address,
@@ -87,11 +90,11 @@
         }
     }
 
-    /// State of all live instances.
+    /// Status of all live instances.
     ///
     /// # Errors
     ///
-    /// [`ClientError`] if there is no answer or it is a refusal.
+    /// [`ClientError`] if the call fails or is refused.
     pub async fn fleet(&self) -> Result<Vec<InstanceStatus>, ClientError> {
         self.get("fleet").await
     }
@@ -100,7 +103,7 @@
     ///
     /// # Errors
     ///
-    /// [`ClientError`] if there is no answer or it is a refusal.
+    /// [`ClientError`] if the call fails or is refused.
     pub async fn timeline(&self) -> Result<Vec<Event>, ClientError> {
         self.get("timeline").await
     }
@@ -109,27 +112,27 @@
     ///
     /// # Errors
     ///
-    /// [`ClientError`] if there is no answer or it is a refusal.
+    /// [`ClientError`] if the call fails or is refused.
     pub async fn config(&self) -> Result<Config, ClientError> {
         self.get("config").await
     }
 
-    /// Which instance has which revision in force.
+    /// Revision in force on each instance.
     ///
     /// # Errors
     ///
-    /// [`ClientError`] if there is no answer or it is a refusal.
+    /// [`ClientError`] if the call fails or is refused.
     pub async fn revisions(&self) -> Result<Vec<MemberStatus>, ClientError> {
         self.get("revisions").await
     }
 
-    /// The note that leads from the configuration in force to the declared one.
+    /// The note that changes the configuration in force into the declared one.
     ///
     /// # Errors
     ///
-    /// [`ClientError`] if there is no answer or it is a refusal.
+    /// [`ClientError`] if the call fails or is refused.
     pub async fn plan(&self, declared: String) -> Result<Note, ClientError> {
-        self.read(self.http.post(self.url("plan")).body(declared))
+        self.send(self.http.post(self.url("plan")).body(declared))
             .await
     }
 
@@ -137,9 +140,9 @@
     ///
     /// # Errors
     ///
-    /// [`ClientError`] if there is no answer or it is a refusal.
+    /// [`ClientError`] if the call fails or is refused.
     pub async fn apply(&self, note: String) -> Result<Acceptance, ClientError> {
-        self.read(self.http.post(self.url("notes")).body(note))
+        self.send(self.http.post(self.url("notes")).body(note))
             .await
     }
 
@@ -147,20 +150,20 @@
     ///
     /// # Errors
     ///
-    /// [`ClientError::NotInForce`] after `wait`, naming who has not got it.
-    pub async fn wait_for(&self, revision: Revision, wait: Duration) -> Result<(), ClientError> {
+    /// [`ClientError::NotInForce`] with the instances still behind after `timeout`.
+    pub async fn wait_for(&self, revision: Revision, timeout: Duration) -> Result<(), ClientError> {
         let start = Instant::now();
         loop {
             let members = self.revisions().await?;
-            let behind = members.iter().filter(|m| m.revision < revision);
-            let waiting: Vec<String> = behind.map(|m| m.instance.to_string()).collect();
-            if waiting.is_empty() {
+            let outdated = members.iter().filter(|m| m.revision < revision);
+            let behind: Vec<String> = outdated.map(|m| m.instance.to_string()).collect();
+            if behind.is_empty() {
                 return Ok(());
             }
-            if start.elapsed() >= wait {
-                return NotInForceSnafu { revision, waiting }.fail();
+            if start.elapsed() >= timeout {
+                return NotInForceSnafu { revision, behind }.fail();
             }
-            sleep(LOOK).await;
+            sleep(POLL_INTERVAL).await;
         }
     }
 
@@ -169,10 +172,10 @@
     }
 
     async fn get<T: DeserializeOwned>(&self, path: &str) -> Result<T, ClientError> {
-        self.read(self.http.get(self.url(path))).await
+        self.send(self.http.get(self.url(path))).await
     }
 
-    async fn read<T: DeserializeOwned>(&self, request: RequestBuilder) -> Result<T, ClientError> {
+    async fn send<T: DeserializeOwned>(&self, request: RequestBuilder) -> Result<T, ClientError> {
         let address = self.address;
         let request = request.bearer_auth(&self.key);
         let answer = request.send().await.context(NoAnswerSnafu { address })?;
@@ -186,14 +189,17 @@
     }
 }
 
-/// The operators' key from `file` or from the file that the environment names.
+/// Reads the operators' key from `file` or the file named by [`KEY_FILE_VARIABLE`].
 ///
 /// # Errors
 ///
 /// [`ClientError::NoKey`] or [`ClientError::KeyFile`].
 pub fn operator_key(file: Option<&Path>) -> Result<String, ClientError> {
-    let named = std::env::var_os(KEY_FILE_VARIABLE).map(PathBuf::from);
-    let path = file.map(Path::to_path_buf).or(named).context(NoKeySnafu)?;
+    let env_path = std::env::var_os(KEY_FILE_VARIABLE).map(PathBuf::from);
+    let path = file
+        .map(Path::to_path_buf)
+        .or(env_path)
+        .context(NoKeySnafu)?;
     let text = std::fs::read_to_string(&path).context(KeyFileSnafu { path })?;
     Ok(text.trim().to_owned())
 }
