--- a/cornelstand/src/run.rs
+++ b/cornelstand/src/run.rs
@@ -1,4 +1,4 @@
-//! Carries out the command line.
+//! Runs the commands of the command line.
 
 use std::path::{Path, PathBuf};
 use std::process::ExitCode;
@@ -29,8 +29,8 @@
 const FAILED: u8 = 1;
 /// Exit code of a conflict with another operator.
 const CONFLICT: u8 = 3;
-/// Exit code if no answer came or a revision is not in force in time.
-const LATE: u8 = 4;
+/// Exit code if no answer comes or a revision is not in force in time.
+const TIMED_OUT: u8 = 4;
 
 /// Error of a command.
 #[derive(Debug, Snafu)]
@@ -40,7 +40,7 @@
     File {
         /// The file.
         path: PathBuf,
-        /// Error of the system.
+        /// I/O error.
         source: std::io::Error,
     },
     /// A file is not valid.
@@ -48,7 +48,7 @@
     Invalid {
         /// The file.
         path: PathBuf,
-        /// What is wrong, with its place.
+        /// What is wrong, with its position.
         reason: String,
     },
     /// The instance cannot start.
@@ -82,23 +82,23 @@
         /// Error of the demonstration.
         source: crate::demo::DemoError,
     },
-    /// Some of the files are not valid; each has been named.
+    /// Some of the files are not valid; each is reported.
     #[snafu(display("{count} of the files are not valid"))]
-    Unchecked {
+    InvalidFiles {
         /// Number of files that are not valid.
         count: usize,
     },
-    /// A promise was broken.
+    /// The demonstration broke a promise.
     #[snafu(display("a promise was broken"))]
-    Broken,
+    PromiseBroken,
 }
 
 impl RunError {
-    fn code(&self) -> u8 {
+    fn exit_code(&self) -> u8 {
         match self {
             Self::Client { source } => match source {
                 ClientError::Refused { status, .. } if status.as_u16() == 409 => CONFLICT,
-                ClientError::NoAnswer { .. } | ClientError::NotInForce { .. } => LATE,
+                ClientError::NoAnswer { .. } | ClientError::NotInForce { .. } => TIMED_OUT,
                 _ => FAILED,
             },
             _ => FAILED,
@@ -106,7 +106,7 @@
     }
 }
 
-/// Reads the process's arguments and carries them out.
+/// Parses the process's arguments and runs the command.
 #[must_use]
 pub fn run() -> ExitCode {
     let matches = command().get_matches();
@@ -118,29 +118,29 @@
         Ok(()) => ExitCode::SUCCESS,
         Err(error) => {
             eprintln!("cornelstand: {error}");
-            ExitCode::from(error.code())
+            ExitCode::from(error.exit_code())
         }
     }
 }
 
-/// Carries out a command on as many threads as there are cores.
+/// Runs a command on a runtime with one thread per core.
 fn run_async(matches: &ArgMatches) -> Result<(), RunError> {
-    let runtime = tokio::runtime::Runtime::new().map_err(|e| process(&e))?;
-    runtime.block_on(carry_out(matches))
+    let runtime = tokio::runtime::Runtime::new().map_err(|e| process_error(&e))?;
+    runtime.block_on(run_command(matches))
 }
 
 fn gateway(args: &ArgMatches) -> Result<(), RunError> {
     let level = args.get_one::<String>("log-level");
     let level = level.map_or("info", String::as_str);
-    let named = args.get_one::<String>("settings").cloned();
-    let path = named.or_else(|| std::env::var(SETTINGS_VARIABLE).ok());
+    let file = args.get_one::<String>("settings").cloned();
+    let path = file.or_else(|| std::env::var(SETTINGS_VARIABLE).ok());
     let path = path.ok_or_else(|| RunError::Process {
         reason: format!("no settings: name a file or set {SETTINGS_VARIABLE}"),
     })?;
     run_gateway(&path, level).context(GatewaySnafu)
 }
 
-async fn carry_out(matches: &ArgMatches) -> Result<(), RunError> {
+async fn run_command(matches: &ArgMatches) -> Result<(), RunError> {
     match matches.subcommand() {
         Some(("serve", args)) => serve(args).await,
         Some(("check", args)) => check(args),
@@ -159,69 +159,76 @@
 }
 
 async fn serve(args: &ArgMatches) -> Result<(), RunError> {
-    let path = path(args, "settings").unwrap_or_default();
-    let settings = Settings::parse(&read(&path)?).map_err(|e| invalid(&path, &e))?;
+    let path = path_arg(args, "settings").unwrap_or_default();
+    let settings = Settings::parse(&read_file(&path)?).map_err(|e| invalid_file(&path, &e))?;
     start_logs(&settings.log)?;
     let instance = Instance::start(settings).await.context(StartSnafu)?;
-    let mut term = signal(SignalKind::terminate()).map_err(|e| process(&e))?;
-    let mut interrupt = signal(SignalKind::interrupt()).map_err(|e| process(&e))?;
+    let mut terminate = signal(SignalKind::terminate()).map_err(|e| process_error(&e))?;
+    let mut interrupt = signal(SignalKind::interrupt()).map_err(|e| process_error(&e))?;
     tokio::select! {
-        _ = term.recv() => {}
+        _ = terminate.recv() => {}
         _ = interrupt.recv() => {}
     }
-    let count = instance.request_count();
-    let again = async {
+    let open_requests = instance.request_count();
+    let warn_on_signal = async {
         loop {
             tokio::select! {
-                _ = term.recv() => {}
+                _ = terminate.recv() => {}
                 _ = interrupt.recv() => {}
             }
-            let requests = count();
-            tracing::warn!(requests, "draining; SIGKILL now would cut these requests");
+            let requests = open_requests();
+            tracing::warn!(
+                requests,
+                "draining; SIGKILL now would cut off these requests"
+            );
         }
     };
     tokio::select! {
         cut = instance.drain() => {
             if cut > 0 {
-                tracing::error!(cut, "requests were cut at the end of the drain time");
+                tracing::error!(cut, "drain timeout reached; open requests were cut off");
             }
         }
-        () = again => {}
+        () = warn_on_signal => {}
     }
     Ok(())
 }
 
 fn check(args: &ArgMatches) -> Result<(), RunError> {
     let files = args.get_many::<PathBuf>("files").into_iter().flatten();
-    let mut rows = Vec::new();
+    let mut results = Vec::new();
     for path in files {
-        rows.push(Checked {
+        results.push(CheckResult {
             file: path.display().to_string(),
-            error: check_file(&read(path)?).err().map(|e| e.to_string()),
+            error: check_file(&read_file(path)?).err().map(|e| e.to_string()),
         });
     }
     if args.get_flag("json") {
-        print_json(&rows);
+        print_json(&results);
     } else {
-        for row in &rows {
-            println!("{}: {}", row.file, row.error.as_deref().unwrap_or("ok"));
+        for result in &results {
+            println!(
+                "{}: {}",
+                result.file,
+                result.error.as_deref().unwrap_or("ok")
+            );
         }
     }
-    let count = rows.iter().filter(|r| r.error.is_some()).count();
+    let count = results.iter().filter(|r| r.error.is_some()).count();
     if count > 0 {
-        return UncheckedSnafu { count }.fail();
+        return InvalidFilesSnafu { count }.fail();
     }
     Ok(())
 }
 
 /// Result of checking one file.
 #[derive(Serialize)]
-struct Checked {
+struct CheckResult {
     file: String,
     error: Option<String>,
 }
 
-/// Checks settings, a note or a declared state, whichever the keys of `text` tell.
+/// Checks settings, a note or a declared state, told apart by their keys.
 fn check_file(text: &str) -> Result<(), Box<dyn std::error::Error>> {
     let keys: serde_json::Map<String, serde_json::Value> = parse_json(text)?;
     if keys.contains_key("base") {
@@ -239,12 +246,15 @@
         Some(("plan", args)) => plan(args).await,
         Some(("apply", args)) => apply(args).await,
         Some(("status", args)) => {
-            let members = client(args)?.revisions().await.context(ClientSnafu)?;
-            show(args, &members, || revision_table(&members));
+            let members = operator_client(args)?
+                .revisions()
+                .await
+                .context(ClientSnafu)?;
+            print_result(args, &members, || revision_table(&members));
             Ok(())
         }
         Some(("show", args)) => {
-            let config = client(args)?.config().await.context(ClientSnafu)?;
+            let config = operator_client(args)?.config().await.context(ClientSnafu)?;
             print_json(&config);
             Ok(())
         }
@@ -253,69 +263,72 @@
 }
 
 async fn plan(args: &ArgMatches) -> Result<(), RunError> {
-    let file = path(args, "file").unwrap_or_default();
-    let note = client(args)?.plan(read(&file)?).await;
+    let file = path_arg(args, "file").unwrap_or_default();
+    let note = operator_client(args)?.plan(read_file(&file)?).await;
     let note = note.context(ClientSnafu)?;
-    if let Some(out) = path(args, "out") {
-        write(
+    if let Some(out) = path_arg(args, "out") {
+        write_file(
             &out,
             &serde_json::to_string_pretty(&note).unwrap_or_default(),
         )?;
     }
-    show(args, &note, || note_table(&note));
+    print_result(args, &note, || note_table(&note));
     Ok(())
 }
 
 async fn apply(args: &ArgMatches) -> Result<(), RunError> {
-    let file = path(args, "file").unwrap_or_default();
-    let client = client(args)?;
-    let acceptance = client.apply(read(&file)?).await.context(ClientSnafu)?;
+    let file = path_arg(args, "file").unwrap_or_default();
+    let client = operator_client(args)?;
+    let acceptance = client.apply(read_file(&file)?).await.context(ClientSnafu)?;
     let revision = acceptance.revision;
-    show(args, &acceptance, || {
-        let again = if acceptance.repeated { " already" } else { "" };
-        format!("accepted{again} as revision {revision}")
+    print_result(args, &acceptance, || {
+        let already = if acceptance.repeated { " already" } else { "" };
+        format!("accepted{already} as revision {revision}")
     });
     if let Some(seconds) = args.get_one::<u64>("wait") {
         let wait = Duration::from_secs(*seconds);
         client.wait_for(revision, wait).await.context(ClientSnafu)?;
-        eprintln!("in force everywhere");
+        eprintln!("revision {revision} is in force on every instance");
     }
     Ok(())
 }
 
 async fn status(args: &ArgMatches) -> Result<(), RunError> {
-    let fleet = client(args)?.fleet().await.context(ClientSnafu)?;
-    show(args, &fleet, || fleet_tables(&fleet));
+    let fleet = operator_client(args)?.fleet().await.context(ClientSnafu)?;
+    print_result(args, &fleet, || fleet_tables(&fleet));
     Ok(())
 }
 
 async fn timeline(args: &ArgMatches) -> Result<(), RunError> {
-    let events = client(args)?.timeline().await.context(ClientSnafu)?;
-    if let Some(out) = path(args, "html") {
-        write(&out, &trace_page(&events))?;
+    let events = operator_client(args)?
+        .timeline()
+        .await
+        .context(ClientSnafu)?;
+    if let Some(out) = path_arg(args, "html") {
+        write_file(&out, &trace_page(&events))?;
     }
-    if let Some(out) = path(args, "trace") {
-        write(&out, &trace_json(&events))?;
+    if let Some(out) = path_arg(args, "trace") {
+        write_file(&out, &trace_json(&events))?;
     }
-    show(args, &events, || format!("{} events", events.len()));
+    print_result(args, &events, || format!("{} events", events.len()));
     Ok(())
 }
 
 async fn load(args: &ArgMatches) -> Result<(), RunError> {
-    let file = path(args, "workload").unwrap_or_default();
-    let workload: Workload = parse_json(&read(&file)?).map_err(|e| invalid(&file, &e))?;
+    let file = path_arg(args, "workload").unwrap_or_default();
+    let workload: Workload = parse_json(&read_file(&file)?).map_err(|e| invalid_file(&file, &e))?;
     if workload.instances.is_empty() {
-        let reason = "instances: names none".to_owned();
+        let reason = "instances: the list is empty".to_owned();
         return InvalidSnafu { path: file, reason }.fail();
     }
     let result = run_load(&workload, None).await;
-    if let Some(out) = path(args, "out") {
-        write(
+    if let Some(out) = path_arg(args, "out") {
+        write_file(
             &out,
             &serde_json::to_string_pretty(&result).unwrap_or_default(),
         )?;
     }
-    show(args, &result, || load_table(&result));
+    print_result(args, &result, || load_table(&result));
     Ok(())
 }
 
@@ -337,19 +350,19 @@
     let options = crate::demo::DemoOptions {
         seconds: args.get_one("seconds").copied().unwrap_or_default(),
         seed: args.get_one("seed").copied().unwrap_or_default(),
-        json: path(args, "json"),
-        timeline: path(args, "timeline"),
+        json: path_arg(args, "json"),
+        timeline: path_arg(args, "timeline"),
         hold: args.get_flag("hold"),
     };
-    let is_kept = crate::demo::run_demo(&options).await.context(DemoSnafu)?;
-    if !is_kept {
-        return BrokenSnafu.fail();
+    let all_kept = crate::demo::run_demo(&options).await.context(DemoSnafu)?;
+    if !all_kept {
+        return PromiseBrokenSnafu.fail();
     }
     Ok(())
 }
 
-fn client(args: &ArgMatches) -> Result<OperatorClient, RunError> {
-    let file = path(args, "key-file");
+fn operator_client(args: &ArgMatches) -> Result<OperatorClient, RunError> {
+    let file = path_arg(args, "key-file");
     let key = operator_key(file.as_deref()).context(ClientSnafu)?;
     let default = ([127, 0, 0, 1], 8081).into();
     let address = args.get_one("at").copied().unwrap_or(default);
@@ -357,7 +370,7 @@
 }
 
 fn start_logs(log: &Log) -> Result<(), RunError> {
-    let filter = EnvFilter::try_new(&log.level).map_err(|e| process(&e))?;
+    let filter = EnvFilter::try_new(&log.level).map_err(|e| process_error(&e))?;
     let logs = tracing_subscriber::fmt()
         .with_env_filter(filter)
         .with_writer(std::io::stderr);
@@ -370,33 +383,33 @@
     })
 }
 
-fn path(args: &ArgMatches, name: &str) -> Option<PathBuf> {
+fn path_arg(args: &ArgMatches, name: &str) -> Option<PathBuf> {
     args.get_one::<PathBuf>(name).cloned()
 }
 
-fn read(path: &Path) -> Result<String, RunError> {
+fn read_file(path: &Path) -> Result<String, RunError> {
     std::fs::read_to_string(path).context(FileSnafu { path })
 }
 
-fn write(path: &Path, text: &str) -> Result<(), RunError> {
+fn write_file(path: &Path, text: &str) -> Result<(), RunError> {
     std::fs::write(path, text).context(FileSnafu { path })
 }
 
-fn invalid(path: &Path, error: &dyn std::error::Error) -> RunError {
+fn invalid_file(path: &Path, error: &dyn std::error::Error) -> RunError {
     RunError::Invalid {
         path: path.to_path_buf(),
         reason: error.to_string(),
     }
 }
 
-fn process(error: &dyn std::error::Error) -> RunError {
+fn process_error(error: &dyn std::error::Error) -> RunError {
     RunError::Process {
         reason: error.to_string(),
     }
 }
 
-/// Prints `value` as JSON if asked for, else as `text` gives it.
-fn show<T: Serialize>(args: &ArgMatches, value: &T, text: impl FnOnce() -> String) {
+/// Prints `value` as JSON with `--json`, otherwise the result of `text`.
+fn print_result<T: Serialize>(args: &ArgMatches, value: &T, text: impl FnOnce() -> String) {
     if args.get_flag("json") {
         print_json(value);
     } else {
