--- a/cornelstand/src/command.rs
+++ b/cornelstand/src/command.rs
@@ -1,4 +1,4 @@
-//! The command line: what can be asked, with help texts and examples.
+//! Definition of the command line, with help texts and examples.
 
 use std::net::SocketAddr;
 use std::path::PathBuf;
@@ -9,7 +9,7 @@
 /// Environment variable that names the operators' key file.
 pub const KEY_FILE_VARIABLE: &str = "CORNELSTAND_KEY_FILE";
 
-/// The whole command line.
+/// Builds the command line.
 #[must_use]
 pub fn command() -> Command {
     let root = Command::new("cornelstand")
@@ -20,7 +20,7 @@
         .subcommand_required(true)
         .arg_required_else_help(true)
         .after_help(
-            "Exit codes: 0 done, 1 failed or a promise was broken, 2 wrong use, 3 conflict with \
+            "Exit codes: 0 success, 1 failure or a broken promise, 2 usage error, 3 conflict with \
              another operator, 4 no answer or not in force in time",
         )
         .subcommand(serve())
@@ -53,16 +53,16 @@
     Command::new("gateway")
         .about("Run one instance on the users' platform until SIGTERM")
         .arg(
-            Arg::new("settings")
-                .value_name("FILE")
-                .help("The platform's settings file; CORNELSTAND_CONFIG names it otherwise"),
+            Arg::new("settings").value_name("FILE").help(
+                "Settings file of the platform [default: the file named by CORNELSTAND_CONFIG]",
+            ),
         )
         .arg(
             Arg::new("log-level")
                 .long("log-level")
                 .value_name("FILTER")
                 .default_value("info")
-                .help("Which log lines are written"),
+                .help("Filter for log lines"),
         )
         .after_help("Example: cornelstand gateway /etc/cornelstand/settings.conf")
 }
@@ -70,16 +70,22 @@
 #[cfg(feature = "demo")]
 fn demo() -> Command {
     Command::new("demo")
-        .about("Run a small fleet with its stand-ins in one process and show what it does")
-        .arg(number(
+        .about("Run a small fleet and its stand-ins in one process and report the result")
+        .arg(number_option(
             "seconds",
             "20",
             "Length of the workload, in seconds",
         ))
-        .arg(number("seed", "1", "Seed of the workload"))
-        .arg(file("json", "Write the result as JSON"))
-        .arg(file("timeline", "Write the time line as a page"))
-        .arg(flag("hold", "Stay up afterwards and print the addresses"))
+        .arg(number_option("seed", "1", "Seed of the workload"))
+        .arg(file_option("json", "Write the result as JSON"))
+        .arg(file_option(
+            "timeline",
+            "Write the timeline as an HTML page",
+        ))
+        .arg(flag(
+            "hold",
+            "Keep running afterwards and print the addresses",
+        ))
         .after_help("Example: cornelstand demo --seconds 30 --timeline timeline.html")
 }
 
@@ -94,7 +100,7 @@
                 .value_parser(value_parser!(PathBuf))
                 .help("Settings, release notes or declared states"),
         )
-        .arg(json())
+        .arg(json_flag())
         .after_help("Example: cornelstand check north-1.json5 notes/*.json5")
 }
 
@@ -104,15 +110,15 @@
         .subcommand_required(true)
         .subcommand(operator_call(
             Command::new("plan")
-                .about("Turn a declared whole state into the note that leads there")
-                .arg(input("Declared state, JSON with comments"))
-                .arg(file("out", "Write the note to a file"))
+                .about("Turn a complete declared state into the note that leads to it")
+                .arg(input_file("Declared state, JSON with comments"))
+                .arg(file_option("out", "Write the note to a file"))
                 .after_help("Example: cornelstand note plan state.json5 --out note.json5"),
         ))
         .subcommand(operator_call(
             Command::new("apply")
                 .about("Apply a release note; applying it again changes nothing")
-                .arg(input("Release note, JSON with comments"))
+                .arg(input_file("Release note, JSON with comments"))
                 .arg(
                     Arg::new("wait")
                         .long("wait")
@@ -141,9 +147,12 @@
 fn timeline() -> Command {
     operator_call(
         Command::new("timeline")
-            .about("Merge the time lines of all instances")
-            .arg(file("html", "Write a page that opens in a browser"))
-            .arg(file("trace", "Write trace-event JSON for trace viewers"))
+            .about("Merge the timelines of all instances")
+            .arg(file_option("html", "Write an HTML page for a browser"))
+            .arg(file_option(
+                "trace",
+                "Write trace-event JSON for trace viewers",
+            ))
             .after_help("Example: cornelstand timeline --at 127.0.0.1:8081 --html timeline.html"),
     )
 }
@@ -158,8 +167,8 @@
                 .value_parser(value_parser!(PathBuf))
                 .help("Workload, JSON with comments"),
         )
-        .arg(file("out", "Write the result as JSON"))
-        .arg(json())
+        .arg(file_option("out", "Write the result as JSON"))
+        .arg(json_flag())
         .after_help("Example: cornelstand load workload.json5 --out result.json")
 }
 
@@ -180,7 +189,7 @@
         .after_help("Example: cornelstand completions bash > cornelstand.bash")
 }
 
-/// Adds what every call to an instance needs.
+/// Adds the arguments of every call to an instance.
 fn operator_call(command: Command) -> Command {
     command
         .arg(
@@ -197,13 +206,13 @@
                 .value_name("FILE")
                 .value_parser(value_parser!(PathBuf))
                 .help(format!(
-                    "File with the operators' key; {KEY_FILE_VARIABLE} names it otherwise"
+                    "File with the operators' key [default: the file named by {KEY_FILE_VARIABLE}]"
                 )),
         )
-        .arg(json())
+        .arg(json_flag())
 }
 
-fn input(help: &'static str) -> Arg {
+fn input_file(help: &'static str) -> Arg {
     Arg::new("file")
         .required(true)
         .value_name("FILE")
@@ -211,7 +220,7 @@
         .help(help)
 }
 
-fn file(name: &'static str, help: &'static str) -> Arg {
+fn file_option(name: &'static str, help: &'static str) -> Arg {
     Arg::new(name)
         .long(name)
         .value_name("FILE")
@@ -219,7 +228,7 @@
         .help(help)
 }
 
-fn number(name: &'static str, default: &'static str, help: &'static str) -> Arg {
+fn number_option(name: &'static str, default: &'static str, help: &'static str) -> Arg {
     Arg::new(name)
         .long(name)
         .default_value(default)
@@ -234,6 +243,6 @@
         .help(help)
 }
 
-fn json() -> Arg {
+fn json_flag() -> Arg {
     flag("json", "Print JSON instead of a table")
 }
