--- a/cornelstand/src/tables.rs
+++ b/cornelstand/src/tables.rs
@@ -1,4 +1,4 @@
-//! Tables for operators.
+//! Text tables for operators.
 
 use std::time::Duration;
 
@@ -18,7 +18,7 @@
     table
 }
 
-/// `micros` microseconds in milliseconds.
+/// Formats `micros` microseconds in milliseconds.
 pub(crate) fn time(micros: u64) -> String {
     let millis = Duration::from_micros(micros).as_secs_f64() * 1_000.0;
     format!("{millis:.0} ms")
@@ -27,12 +27,16 @@
 /// Instances, cells and endpoints of the whole fleet.
 #[must_use]
 pub fn fleet_tables(fleet: &[InstanceStatus]) -> String {
-    let tables = [instances(fleet), cells(fleet), endpoints(fleet)];
+    let tables = [
+        instance_table(fleet),
+        cell_table(fleet),
+        endpoint_table(fleet),
+    ];
     tables.map(|t| t.to_string()).join("\n")
 }
 
-fn instances(fleet: &[InstanceStatus]) -> Table {
-    let mut rows = table(&[
+fn instance_table(fleet: &[InstanceStatus]) -> Table {
+    let mut table = table(&[
         "instance",
         "data centre",
         "state",
@@ -43,31 +47,31 @@
         "received, B",
         "store calls",
     ]);
-    for one in fleet {
-        rows.add_row([
-            one.instance.to_string(),
-            one.centre.to_string(),
-            one.readiness.to_string(),
-            one.revision.to_string(),
-            one.requests.to_string(),
-            one.cells.len().to_string(),
-            one.traffic.sent.to_string(),
-            one.traffic.received.to_string(),
-            one.calls.to_string(),
+    for status in fleet {
+        table.add_row([
+            status.instance.to_string(),
+            status.centre.to_string(),
+            status.readiness.to_string(),
+            status.revision.to_string(),
+            status.requests.to_string(),
+            status.cells.len().to_string(),
+            status.traffic.sent.to_string(),
+            status.traffic.received.to_string(),
+            status.calls.to_string(),
         ]);
     }
-    rows
+    table
 }
 
-fn cells(fleet: &[InstanceStatus]) -> Table {
-    let mut rows = table(&[
+fn cell_table(fleet: &[InstanceStatus]) -> Table {
+    let mut table = table(&[
         "cell", "owner", "epoch", "part", "waiting", "running", "granted", "refused",
     ]);
-    for one in fleet {
-        for cell in &one.cells {
-            rows.add_row([
+    for status in fleet {
+        for cell in &status.cells {
+            table.add_row([
                 cell.cell.to_string(),
-                one.instance.to_string(),
+                status.instance.to_string(),
                 cell.epoch.to_string(),
                 cell.part.map_or("none".to_owned(), |p| p.to_string()),
                 cell.waiting.to_string(),
@@ -77,14 +81,14 @@
             ]);
         }
     }
-    rows
+    table
 }
 
-fn endpoints(fleet: &[InstanceStatus]) -> Table {
-    let mut rows = table(&["endpoint", "cell", "state", "limit", "running", "boot"]);
+fn endpoint_table(fleet: &[InstanceStatus]) -> Table {
+    let mut table = table(&["endpoint", "cell", "state", "limit", "running", "boot"]);
     for cell in fleet.iter().flat_map(|i| &i.cells) {
         for endpoint in &cell.endpoints {
-            rows.add_row([
+            table.add_row([
                 endpoint.endpoint.to_string(),
                 cell.cell.to_string(),
                 endpoint.state.to_string(),
@@ -94,45 +98,45 @@
             ]);
         }
     }
-    rows
+    table
 }
 
 /// Revision in force on each instance.
 #[must_use]
 pub fn revision_table(members: &[MemberStatus]) -> String {
-    let mut rows = table(&["instance", "state", "revision"]);
+    let mut table = table(&["instance", "state", "revision"]);
     for member in members {
-        rows.add_row([
+        table.add_row([
             member.instance.to_string(),
             member.state.clone(),
             member.revision.to_string(),
         ]);
     }
-    rows.to_string()
+    table.to_string()
 }
 
 /// What a note adds, changes and withdraws.
 #[must_use]
 pub fn note_table(note: &Note) -> String {
     let rows: Vec<String> = note.rows().iter().map(ToString::to_string).collect();
-    let head = format!("\"{}\" against revision {}", note.title, note.base);
-    std::iter::once(head)
+    let title = format!("\"{}\" against revision {}", note.title, note.base);
+    std::iter::once(title)
         .chain(rows)
         .collect::<Vec<_>>()
         .join("\n")
 }
 
-/// What the callers of a workload met, a row for each source of calls.
+/// Results that callers of a workload saw, a row for each source of calls.
 #[must_use]
 pub fn load_table(result: &LoadResult) -> String {
-    let mut rows = table(&[
+    let mut table = table(&[
         "account", "share", "calls", "wait p50", "p95", "p99", "answers", "not run", "unknown",
         "failed",
     ]);
     for account in &result.accounts {
         for source in &account.sources {
             let counts = &source.counts;
-            rows.add_row([
+            table.add_row([
                 account.account.to_string(),
                 account.share.to_string(),
                 source.label.clone(),
@@ -146,5 +150,5 @@
             ]);
         }
     }
-    rows.to_string()
+    table.to_string()
 }
