--- a/cornelstand/src/timeline.rs
+++ b/cornelstand/src/timeline.rs
@@ -1,8 +1,8 @@
-//! Time line of events over all processes.
+//! Timeline of events across all instances.
 //!
-//! Each instance keeps its latest events in a bounded ring. Events carry a [`Stamp`] of a hybrid
-//! logical clock, so that the merged rings of all instances show causes before effects even when
-//! wall clocks differ.
+//! Each instance keeps its latest events in a ring buffer. Events carry a [`Stamp`] of a hybrid
+//! logical clock, so that the merged buffers of all instances show causes before effects even
+//! when wall clocks differ.
 
 use std::collections::VecDeque;
 use std::sync::{Arc, Mutex, PoisonError};
@@ -14,20 +14,20 @@
 use crate::moment::micros;
 use crate::name::{InstanceName, RequestId};
 
-/// Time of an event in the order of the whole fleet.
+/// Hybrid logical time of an event, ordered across the fleet.
 #[derive(
     Clone, Copy, Debug, Default, Deserialize, Display, Eq, Ord, PartialEq, PartialOrd, Serialize,
 )]
 #[display("{wall}.{count}")]
 pub struct Stamp {
-    /// Largest wall-clock time seen, in microseconds since the Unix epoch.
+    /// Latest wall-clock time seen, in microseconds since the Unix epoch.
     pub wall: u64,
     /// Counts events with the same wall-clock time.
     pub count: u32,
 }
 
 impl Stamp {
-    /// The stamp of the next event at wall-clock time `wall`, after this one and after `seen`.
+    /// The next stamp at wall-clock time `wall`, later than this one and `seen`.
     #[must_use]
     pub fn next(self, wall: u64, seen: Self) -> Self {
         let latest = self.max(seen);
@@ -41,7 +41,7 @@
     }
 }
 
-/// What an event is about.
+/// Category of an event.
 #[derive(Clone, Copy, Debug, Deserialize, Display, Eq, Ord, PartialEq, PartialOrd, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Topic {
@@ -51,11 +51,11 @@
     Endpoint,
     /// Ownership of a cell.
     Cell,
-    /// A revision of the configuration.
+    /// Revision of the configuration.
     Config,
     /// Membership of the fleet.
     Member,
-    /// A claim of a request that may not be repeated.
+    /// Claim of a request that may not be repeated.
     Claim,
     /// Start and stop of the process.
     Process,
@@ -64,89 +64,89 @@
 /// One event of one instance.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Event {
-    /// When, in the order of the fleet.
+    /// Time, in the order of the fleet.
     pub stamp: Stamp,
-    /// Where.
+    /// Recording instance.
     pub instance: InstanceName,
-    /// What it is about.
+    /// Category.
     pub topic: Topic,
     /// What happened, a short fixed phrase such as `granted`.
     pub what: String,
-    /// The subject: an endpoint, cell, account or revision.
+    /// Endpoint, cell, account or revision concerned.
     pub subject: String,
-    /// The request, if one is concerned.
+    /// Request, if the event concerns one.
     pub request: Option<RequestId>,
 }
 
-/// Ring of the latest events of one instance. Clones share the ring.
+/// Ring buffer of the latest events of one instance. Clones share the buffer.
 #[derive(Clone, Debug)]
 pub struct Timeline {
     instance: InstanceName,
-    ring: Arc<Mutex<Ring>>,
+    buffer: Arc<Mutex<Buffer>>,
 }
 
 #[derive(Debug)]
-struct Ring {
+struct Buffer {
     last: Stamp,
-    room: usize,
+    capacity: usize,
     events: VecDeque<Event>,
 }
 
 impl Timeline {
-    /// An empty ring of `instance` that keeps at most `room` events.
+    /// Empty buffer of `instance` for at most `capacity` events.
     #[must_use]
-    pub fn new(instance: InstanceName, room: usize) -> Self {
-        let ring = Ring {
+    pub fn new(instance: InstanceName, capacity: usize) -> Self {
+        let buffer = Buffer {
             last: Stamp::default(),
-            room: room.max(1),
+            capacity: capacity.max(1),
             events: VecDeque::new(),
         };
         Self {
             instance,
-            ring: Arc::new(Mutex::new(ring)),
+            buffer: Arc::new(Mutex::new(buffer)),
         }
     }
 
     /// Records that `what` happened to `subject`.
     pub fn record(&self, topic: Topic, what: &str, subject: &str, request: Option<RequestId>) {
-        let mut ring = self.lock();
-        ring.last = ring.last.next(wall_clock(), Stamp::default());
+        let mut buffer = self.lock();
+        buffer.last = buffer.last.next(wall_clock(), Stamp::default());
         let event = Event {
-            stamp: ring.last,
+            stamp: buffer.last,
             instance: self.instance.clone(),
             topic,
             what: what.to_owned(),
             subject: subject.to_owned(),
             request,
         };
-        if ring.events.len() == ring.room {
-            ring.events.pop_front();
+        if buffer.events.len() == buffer.capacity {
+            buffer.events.pop_front();
         }
-        ring.events.push_back(event);
+        buffer.events.push_back(event);
     }
 
-    /// Takes in the stamp of a message from another instance.
+    /// Advances the clock past the stamp of a received message.
     pub fn observe(&self, seen: Stamp) {
-        let mut ring = self.lock();
-        ring.last = ring.last.next(wall_clock(), seen);
+        let mut buffer = self.lock();
+        buffer.last = buffer.last.next(wall_clock(), seen);
     }
 
-    /// Stamp for a message to another instance.
+    /// Advances the clock and returns a stamp for a message.
     #[must_use]
     pub fn stamp(&self) -> Stamp {
-        let mut ring = self.lock();
-        ring.last = ring.last.next(wall_clock(), Stamp::default());
-        ring.last
+        let mut buffer = self.lock();
+        buffer.last = buffer.last.next(wall_clock(), Stamp::default());
+        buffer.last
     }
 
-    /// The events in the ring, oldest first.
+    /// The buffered events, oldest first.
     #[must_use]
     pub fn events(&self) -> Vec<Event> {
         self.lock().events.iter().cloned().collect()
     }
 
-    fn lock(&self) -> std::sync::MutexGuard<'_, Ring> {
-        self.ring.lock().unwrap_or_else(PoisonError::into_inner)
+    fn lock(&self) -> std::sync::MutexGuard<'_, Buffer> {
+        self.buffer.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
 
@@ -156,10 +156,10 @@
         .map_or(0, micros)
 }
 
-/// Merges the rings of several instances into one order.
+/// Merges the events of several instances in stamp order.
 #[must_use]
-pub fn merge(rings: Vec<Vec<Event>>) -> Vec<Event> {
-    let mut events: Vec<Event> = rings.into_iter().flatten().collect();
+pub fn merge(lists: Vec<Vec<Event>>) -> Vec<Event> {
+    let mut events: Vec<Event> = lists.into_iter().flatten().collect();
     events.sort_by(|a, b| (a.stamp, &a.instance).cmp(&(b.stamp, &b.instance)));
     events
 }
