--- a/cornelstand/src/trace.rs
+++ b/cornelstand/src/trace.rs
@@ -1,4 +1,4 @@
-//! Output of the time line: trace-event JSON and a self-contained page.
+//! Timeline export: trace-event JSON and a self-contained HTML page.
 
 use std::collections::BTreeMap;
 
@@ -8,18 +8,18 @@
 use crate::name::{InstanceName, RequestId};
 use crate::timeline::Event;
 
-/// The page, with a mark where the events go.
+/// Page with a placeholder for the events.
 const PAGE: &str = include_str!("timeline.html");
-/// Mark in [`PAGE`] that the events replace.
-const MARK: &str = "/*EVENTS*/[]";
+/// Placeholder in [`PAGE`] that the events replace.
+const PLACEHOLDER: &str = "/*EVENTS*/[]";
 
-/// Kind of a trace event, as trace viewers name it.
+/// Event phase of the trace-event format.
 #[derive(Serialize)]
-enum Shape {
-    /// Something with a duration.
+enum Phase {
+    /// Event with a duration.
     #[serde(rename = "X")]
     Complete,
-    /// Something at one time.
+    /// Event at a point in time.
     #[serde(rename = "i")]
     Instant,
     /// The name of a process.
@@ -27,12 +27,12 @@
     Metadata,
 }
 
-/// One event in the form that common trace viewers open.
+/// One event in the trace-event format.
 #[derive(Serialize)]
 struct TraceEvent<'a> {
     name: &'a str,
     #[serde(rename = "ph")]
-    shape: Shape,
+    phase: Phase,
     #[serde(rename = "ts")]
     micros: u64,
     #[serde(rename = "dur", skip_serializing_if = "Option::is_none")]
@@ -45,46 +45,46 @@
 }
 
 /// The events as trace-event JSON: a process for each instance, a thread for each topic, and a
-/// bar for each request from its first to its last event there.
+/// span for each request from its first to its last event there.
 ///
 /// # Panics
 ///
 /// Never: the events consist of text and numbers.
 #[must_use]
 pub fn trace_json(events: &[Event]) -> String {
-    let processes = processes(events);
-    let names = processes.iter().map(|(name, process)| TraceEvent {
+    let process_ids = process_ids(events);
+    let names = process_ids.iter().map(|(name, process)| TraceEvent {
         name: "process_name",
-        shape: Shape::Metadata,
+        phase: Phase::Metadata,
         micros: 0,
         duration: None,
         process: *process,
         thread: 0,
         args: json!({ "name": name }),
     });
-    let points = events.iter().map(|e| TraceEvent {
+    let instants = events.iter().map(|e| TraceEvent {
         name: &e.what,
-        shape: Shape::Instant,
+        phase: Phase::Instant,
         micros: e.stamp.wall,
         duration: None,
-        process: processes[&e.instance],
+        process: process_ids[&e.instance],
         thread: e.topic as usize,
         args: json!({ "topic": e.topic, "subject": e.subject, "request": request_text(e) }),
     });
-    let bars = bars(events).into_iter().map(|bar| TraceEvent {
+    let spans = request_spans(events).into_iter().map(|span| TraceEvent {
         name: "request",
-        shape: Shape::Complete,
-        micros: bar.from,
-        duration: Some(bar.until - bar.from),
-        process: processes[bar.instance],
+        phase: Phase::Complete,
+        micros: span.from,
+        duration: Some(span.until - span.from),
+        process: process_ids[span.instance],
         thread: 0,
-        args: json!({ "request": bar.request.to_string() }),
+        args: json!({ "request": span.request.to_string() }),
     });
-    let all: Vec<TraceEvent<'_>> = names.chain(bars).chain(points).collect();
+    let all: Vec<TraceEvent<'_>> = names.chain(spans).chain(instants).collect();
     serde_json::to_string(&json!({ "traceEvents": all })).expect("text and numbers")
 }
 
-/// The events as one page that needs nothing else.
+/// The events as one self-contained HTML page.
 ///
 /// # Panics
 ///
@@ -93,32 +93,32 @@
 pub fn trace_page(events: &[Event]) -> String {
     let rows = serde_json::to_string(events).expect("text and numbers");
     // A closing tag inside a string would end the script.
-    PAGE.replace(MARK, &rows.replace("</", "<\\/"))
+    PAGE.replace(PLACEHOLDER, &rows.replace("</", "<\\/"))
 }
 
-struct Bar<'a> {
+struct RequestSpan<'a> {
     instance: &'a InstanceName,
     request: RequestId,
     from: u64,
     until: u64,
 }
 
-fn bars(events: &[Event]) -> Vec<Bar<'_>> {
-    let mut spans: BTreeMap<(&InstanceName, RequestId), (u64, u64)> = BTreeMap::new();
+fn request_spans(events: &[Event]) -> Vec<RequestSpan<'_>> {
+    let mut bounds: BTreeMap<(&InstanceName, RequestId), (u64, u64)> = BTreeMap::new();
     for event in events {
         let Some(request) = event.request else {
             continue;
         };
         let wall = event.stamp.wall;
-        let span = spans
+        let bound = bounds
             .entry((&event.instance, request))
             .or_insert((wall, wall));
-        span.0 = span.0.min(wall);
-        span.1 = span.1.max(wall);
+        bound.0 = bound.0.min(wall);
+        bound.1 = bound.1.max(wall);
     }
-    spans
+    bounds
         .into_iter()
-        .map(|((instance, request), (from, until))| Bar {
+        .map(|((instance, request), (from, until))| RequestSpan {
             instance,
             request,
             from,
@@ -127,7 +127,7 @@
         .collect()
 }
 
-fn processes(events: &[Event]) -> BTreeMap<&InstanceName, usize> {
+fn process_ids(events: &[Event]) -> BTreeMap<&InstanceName, usize> {
     let mut names: Vec<&InstanceName> = events.iter().map(|e| &e.instance).collect();
     names.sort();
     names.dedup();
