--- a/cornelstand/src/main.rs
+++ b/cornelstand/src/main.rs
@@ -1,4 +1,4 @@
-//! Parses the command line and starts the daemon.
+//! The `cornelstand` command.
 
 use std::process::ExitCode;
 
