--- a/cornelstand/tests/demo.rs
+++ b/cornelstand/tests/demo.rs
@@ -1,4 +1,4 @@
-//! The demo from start to end, over real connections.
+//! Runs the demo from start to end over real connections.
 #![cfg(feature = "demo")]
 
 use cornelstand::{DemoOptions, run_demo};
@@ -12,5 +12,5 @@
         timeline: None,
         hold: false,
     };
-    assert!(run_demo(&options).await.expect("a whole demo"));
+    assert!(run_demo(&options).await.expect("the demo completes"));
 }
