--- a/cornelstand/src/problem.rs
+++ b/cornelstand/src/problem.rs
@@ -165,7 +165,7 @@
         headers.insert(CONTENT_TYPE, HeaderValue::from_static(PROBLEM_TYPE));
         headers.insert(REQUEST_ID, id_value(request));
         if let Some(wait) = self.retry {
-            headers.insert(RETRY_AFTER, seconds(wait).into());
+            headers.insert(RETRY_AFTER, whole_seconds(wait).into());
         }
         answer
     }
@@ -177,7 +177,7 @@
 }
 
 /// Rounds up to whole seconds, at least one.
-fn seconds(wait: Duration) -> u64 {
-    let part = u64::from(wait.subsec_nanos() > 0);
-    wait.as_secs().saturating_add(part).max(1)
+fn whole_seconds(wait: Duration) -> u64 {
+    let fraction = u64::from(wait.subsec_nanos() > 0);
+    wait.as_secs().saturating_add(fraction).max(1)
 }
