--- a/cornelstand/src/call.rs
+++ b/cornelstand/src/call.rs
@@ -296,7 +296,7 @@
         let status = answer.status();
         let headers = answer.headers().clone();
         if is_foreign(&headers, origin.attempt) {
-            self.core.metrics.foreign.inc();
+            self.core.metrics.foreign_answers.inc();
             self.core.replace_pool(leg.address);
             return self.lost(sent, Loss::Broken, leg, caller).await;
         }
@@ -441,7 +441,7 @@
         let mut budgets = self.core.budgets();
         let permit = budgets.spend(self.repeat, &self.account, &self.service);
         if permit.is_none() {
-            self.core.metrics.unbudgeted.inc();
+            self.core.metrics.retries_denied.inc();
         }
         permit
     }
--- a/cornelstand/src/entry_core.rs
+++ b/cornelstand/src/entry_core.rs
@@ -171,7 +171,7 @@
 
     /// Replaces the connection pool of `address`.
     pub(crate) fn replace_pool(&self, address: SocketAddr) {
-        self.metrics.pools.inc();
+        self.metrics.pools_replaced.inc();
         self.upstreams.replace(address);
     }
 
--- a/cornelstand/src/entry_metrics.rs
+++ b/cornelstand/src/entry_metrics.rs
@@ -14,7 +14,7 @@
     /// Retries by reason: `crossed`, `withdrawn`, `paused`, `unconnected`, `lost` or `overloaded`.
     pub(crate) retries: IntCounterVec,
     /// Retries of lost attempts denied by the retry budgets.
-    pub(crate) unbudgeted: IntCounter,
+    pub(crate) retries_denied: IntCounter,
     /// Claims by settlement: `recorded`, `released`, `unknown` or `unsettled`.
     pub(crate) claims: IntCounterVec,
     /// Stream resumptions by result: `resumed`, `unknown`, `down` or `failed`.
@@ -22,9 +22,9 @@
     /// Attempts lost because the endpoint crashed.
     pub(crate) crashes: IntCounter,
     /// Answers that belong to another attempt.
-    pub(crate) foreign: IntCounter,
+    pub(crate) foreign_answers: IntCounter,
     /// Connection pools replaced.
-    pub(crate) pools: IntCounter,
+    pub(crate) pools_replaced: IntCounter,
     /// Pauses of the process.
     pub(crate) pauses: IntCounter,
     /// Open requests.
@@ -70,7 +70,7 @@
                 "Further attempts by reason",
                 "reason",
             )?,
-            unbudgeted: counter("entry_retries_refused_total", "Retries beyond the budgets")?,
+            retries_denied: counter("entry_retries_refused_total", "Retries beyond the budgets")?,
             claims: vec(
                 "entry_claims_total",
                 "Claims by how they were settled",
@@ -78,8 +78,8 @@
             )?,
             resumes: vec("entry_resumes_total", "Resumed streams by result", "result")?,
             crashes: counter("entry_crashes_total", "Attempts lost to a crash")?,
-            foreign: counter("entry_foreign_answers_total", "Answers of other attempts")?,
-            pools: counter(
+            foreign_answers: counter("entry_foreign_answers_total", "Answers of other attempts")?,
+            pools_replaced: counter(
                 "entry_pools_replaced_total",
                 "Pools of connections replaced",
             )?,
