--- a/cornelstand/src/exchange.rs
+++ b/cornelstand/src/exchange.rs
@@ -1,8 +1,8 @@
 //! Exchange of fair-queue totals between the cells of one service.
 //!
-//! Each cell tells the others, at most once per [`PERIOD`], how much service it has given to its
-//! backlogged accounts. A receiver adds the increase to the counters of accounts that are
-//! backlogged there too, so that an account with work at several cells is ordered by its total.
+//! At most once per [`PERIOD`], each cell sends the others the totals of the service that it has
+//! given to its backlogged accounts. A receiver adds the increase to the counters of accounts that
+//! are backlogged there too, so that an account with work at several cells is ordered by its total.
 //! The messages carry running totals, so a later one makes up for one that was lost, repeated or
 //! cut to the size limit.
 
@@ -66,7 +66,7 @@
         self.due
     }
 
-    /// The totals that changed, if a message is due and any did.
+    /// Returns the totals that changed if a message is due, and records them as sent.
     pub(crate) fn take_totals(&mut self, now: Moment, queue: &FairQueue) -> Vec<Total> {
         if now < self.due || queue.is_empty() {
             return Vec::new();
--- a/cornelstand/src/gateway/gate.rs
+++ b/cornelstand/src/gateway/gate.rs
@@ -34,8 +34,8 @@
 /// Largest share of new streams that is shed.
 const MAX_SHED_SHARE: f64 = 0.95;
 
-/// Prompt length from which peers are told at once that its prefill is queued or done: about a
-/// tenth of the queue that an engine may have.
+/// Prompt length from which a heartbeat is sent immediately when the prefill is queued or done:
+/// about a tenth of the queue that an engine may have.
 const URGENT_PROMPT_TOKENS: f64 = 1_000.0;
 
 /// Mutable gateway state.
--- a/cornelstand/src/gateway/notices.rs
+++ b/cornelstand/src/gateway/notices.rs
@@ -8,7 +8,7 @@
 
 use crate::moment::Moment;
 
-/// Time for which a notice is kept: endpoints that leave are gone much sooner.
+/// Time for which a notice is kept; leaving endpoints stop much sooner.
 const NOTICE_RETENTION: Duration = Duration::from_mins(15);
 /// Time for which a leaving endpoint is announced to peers; all have received it by then.
 const ANNOUNCE_TIME: Duration = Duration::from_secs(5);
@@ -67,7 +67,7 @@
         recent.into_iter().map(|(_, key)| key).collect()
     }
 
-    /// Drops notices of endpoints that are long gone.
+    /// Removes notices that are older than [`NOTICE_RETENTION`] and ask for no further rest.
     pub(crate) fn forget(&mut self, now: Moment) {
         let is_kept =
             |n: &NoticeState| now < n.rests_until || now.since(n.updated) < NOTICE_RETENTION;
--- a/cornelstand/src/gateway/residency.rs
+++ b/cornelstand/src/gateway/residency.rs
@@ -12,8 +12,8 @@
 
 use crate::moment::Moment;
 
-/// Time for which messages repeat an entry; longer than the interval between messages, so that a
-/// lost message does no harm.
+/// Time for which messages repeat an entry; longer than the interval between messages, so that an
+/// entry of a lost message is sent again.
 const REPEAT_TIME: Duration = Duration::from_millis(700);
 /// Maximum number of entries in a message, so that it fits a datagram; the latest are sent.
 const MAX_ENTRIES: usize = 192;
--- a/cornelstand/src/gateway/tests/directory.rs
+++ b/cornelstand/src/gateway/tests/directory.rs
@@ -51,8 +51,9 @@
 
 #[test]
 fn an_entry_removed_after_the_recovery_expires_within_the_bound_for_leaving_endpoints() {
-    // Seen in scale-2 --seed 996663508902 of tessel-counter: the store was back at 13.5 s and the
-    // entry removed at 13.94 s, but the endpoint was still used at 16.2 s.
+    // An endpoint whose entry was removed soon after the store's recovery was kept too long: the
+    // store was back at 13.5 s and the entry removed at 13.94 s, but the endpoint was still used
+    // at 16.2 s.
     let mut directory = Directory::new();
     directory.mark_store_available(at(0));
     directory.list_endpoints(at(0), vec![entry("a")]);
@@ -103,8 +104,8 @@
 
 #[test]
 fn a_lapsed_entry_adopted_from_a_peer_keeps_its_expiry() {
-    // Seen in trouble-1 --seed 816576343229 of tessel-counter-grown: instances that adopted a
-    // peer's view during the endpoint's grace time there never removed it.
+    // Instances that adopted a peer's view during an endpoint's grace time at that peer never
+    // removed the endpoint.
     let mut peer = Directory::new();
     peer.mark_store_available(at(0));
     peer.list_endpoints(at(0), vec![entry("a"), entry("b")]);
@@ -147,9 +148,8 @@
     assert_eq!(changes, [EndpointChange::Removed("a".into())]);
 }
 
-/// Seen in scale-1 of tessel-counter-large: at one instance the evacuation watch was 2.2 s late,
-/// but its endpoints were at the same revision; another instance took that view as newer and
-/// adopted nothing more for 5 s.
+/// At one instance the evacuation watch was 2.2 s late, but its endpoints were at the same revision
+/// as elsewhere. Another instance took that view as newer and adopted nothing more for 5 s.
 #[test]
 fn newer_endpoints_do_not_hide_an_evacuation() {
     let watching = |evacuated: &[&str]| {
--- a/cornelstand/src/gateway/tests/outputs.rs
+++ b/cornelstand/src/gateway/tests/outputs.rs
@@ -25,8 +25,8 @@
 
 #[test]
 fn a_limit_is_averaged_with_those_of_the_peers() {
-    // Seen in scale-1 of gelrouter-nbo-grown: an instance with a limit of 11.8 ms found no
-    // endpoint, since the others, with limits of 20 to 40 ms, kept all endpoints above 12 ms.
+    // An instance with a limit of 11.8 ms found no endpoint, since the others, with limits of 20 to
+    // 40 ms, kept all endpoints above 12 ms.
     let service = ServiceName::from("s");
     let mut outputs = Outputs::default();
     outputs.note(&service, "quote", Duration::from_secs(12), 900);
--- a/cornelstand/src/holdings.rs
+++ b/cornelstand/src/holdings.rs
@@ -209,14 +209,14 @@
         }
     }
 
-    /// Tells all owned cells that an entry is gone, which frees its attempts.
+    /// Notifies all owned cells that an entry is gone, which frees its attempts.
     pub(crate) async fn forget_entry(&self, entry: &InstanceName) {
         for owned in self.all() {
             owned.dispatcher.send(EntryGone(entry.clone())).await.ok();
         }
     }
 
-    /// Puts a revision of the configuration in force in all owned cells.
+    /// Applies a revision of the configuration to all owned cells.
     pub(crate) async fn configure(&self, config: &Arc<Config>) {
         for owned in self.all() {
             owned.dispatcher.send(Configure(config.clone())).await.ok();
--- a/cornelstand/src/platform/tests/crashes.rs
+++ b/cornelstand/src/platform/tests/crashes.rs
@@ -59,7 +59,8 @@
     .await;
 }
 
-/// An endpoint that crashes for good on its first request, or sends `kind` as its response to it.
+/// An endpoint that sends `kind` as its response to its first request. Without `kind` it resets
+/// that connection and accepts no other, as if it had crashed and not restarted.
 async fn endpoint(kind: Option<&str>) -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("loopback");
     let address = listener.local_addr().expect("bound");
--- a/cornelstand/src/suspect.rs
+++ b/cornelstand/src/suspect.rs
@@ -6,9 +6,9 @@
 //! answer clears it, because most requests that run when an endpoint crashes did not cause it.
 //!
 //! Instances exchange [`Suspicion`]s, whose merge gives the same result in any order. An instance
-//! announces the trial that it wants to its peers, merges their replies, and begins it unless
-//! another one runs or an instance with a lower name wants one. Two instances that want a trial at
-//! the same time have each seen the other's announcement by then.
+//! sends its trial request to its peers, merges their replies, and begins the trial unless another
+//! one runs or an instance with a lower name has requested one. Two instances that request a trial
+//! at the same time have each received the other's request by then.
 
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::time::Duration;
@@ -43,7 +43,7 @@
 #[derive(Clone, Copy, Debug, Deserialize, Eq, IsVariant, Ord, PartialEq, PartialOrd, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum TrialPhase {
-    /// An instance asks for it.
+    /// Requested, but not begun.
     Wanted,
     /// It runs.
     Running,
@@ -174,7 +174,7 @@
         requests.filter(move |r| self.check(now, *r).is_refused())
     }
 
-    /// Whether the trial that `instance` wants may begin.
+    /// Whether the trial that `instance` requested may begin.
     #[must_use]
     pub fn may_begin(&self, now: Moment, request: Fingerprint, instance: &InstanceName) -> bool {
         let Some(entry) = self.entries.get(&request) else {
@@ -248,7 +248,8 @@
         }
     }
 
-    /// Records that `instance` wants a trial, unless it has one already.
+    /// Records the trial request of `instance`, unless it has a trial that has neither ended nor
+    /// timed out. Returns whether the request was recorded.
     pub fn request_trial(
         &mut self,
         now: Moment,
--- a/cornelstand/src/tombs.rs
+++ b/cornelstand/src/tombs.rs
@@ -1,4 +1,4 @@
-//! Recently ended attempts, so that a late message cannot revive one.
+//! Recently ended attempts, so that a late message cannot make one active again.
 
 use std::collections::{HashSet, VecDeque};
 
